--- a/src/tulippin/jobs/_attempts.py
+++ b/src/tulippin/jobs/_attempts.py
@@ -1,4 +1,7 @@
-"""Runs of tasks: their ends, their loss, and stopping them."""
+"""Runs (attempts) of tasks: adding, ending, losing and stopping them.
+
+The modules that start tasks and that read workers' reports call this one.
+"""
 
 from __future__ import annotations
 
@@ -23,18 +26,19 @@
     TaskKey,
 )
 
-# How long an order to stop may go unanswered before it is sent again.
+# Time after which an unanswered order to stop is sent again.
 STOP_AGAIN_MS: t.Final = 700
-# Ends that a task's next start depends on. After others it is started as if
-# that run had not been.
+# Outcomes that the next start of a task depends on. After any other outcome
+# the task is started as if the run had not existed.
 _COUNTED_OUTCOMES: t.Final = frozenset((RunOutcome.DONE, RunOutcome.FAILED))
 
 
 def find_task(key: TaskKey, context: Context) -> tuple[Job, Task] | None:
-    """Return a known task with its job.
+    """Return a task with its job, or None if it doesn't exist.
 
-    A worker may name a task that its job has not. Looked up all the same,
-    it would be counted, run and kept, or be no key of what is left to do.
+    A worker may name a task that isn't part of its job. Creating it would
+    count, run and store a task that doesn't exist, or raise a ``KeyError`` in
+    the counts of remaining tasks.
     """
     job = context.state.jobs.get(key.job_id)
     if job is None or not has_task(job.request, key):
@@ -43,7 +47,7 @@
 
 
 def add_attempt(attempt: Attempt, task: Task, worker: Worker) -> None:
-    """Count a run to its task and to its worker's room."""
+    """Add a run to its task and to its worker, with the reservation."""
     task.attempts[attempt.run] = attempt
     worker.attempts[attempt.key, attempt.run] = attempt
     worker.reserved = worker.reserved.add(attempt.step.reserved)
@@ -51,14 +55,14 @@
 
 
 def note_running(attempt: Attempt, context: Context) -> None:
-    """Note that a task's run is there."""
+    """Record that a task has run."""
     found = find_task(attempt.key, context)
     if found is not None:
         found[1].has_run = True
 
 
 def drop_attempt(attempt: Attempt, context: Context) -> None:
-    """Take a run off its worker and its task."""
+    """Remove a run from its task and from its worker."""
     worker = context.state.workers.get(attempt.worker_id)
     if worker is not None:
         found = worker.attempts.pop((attempt.key, attempt.run), None)
@@ -72,15 +76,18 @@
         job.tasks[attempt.key].attempts.pop(attempt.run, None)
         if attempt.step.long_running and job.state not in FINAL_STATES:
             _lifecycle.mark_dirty(job, context.state)
-        # A run that never was has not ended the wait of its job: with each
-        # refused start the wait began anew, and the same worker was chosen.
-        was_there = attempt.seen_ms > 0
-        if was_there and not _ready.has_runs(job):
+        # A refused start doesn't end the idle time of its job: restarting it
+        # with each refused start makes the same worker the choice again.
+        has_existed = attempt.seen_ms > 0
+        if has_existed and not _ready.has_runs(job):
             job.idle_since_ms = context.state.now_ms
 
 
 def release(attempt: Attempt, context: Context, why: str) -> None:
-    """Take a run as over, without an end that counts."""
+    """Remove a run that ended without an outcome, and make its task ready.
+
+    The runs of the other members of its gang are stopped.
+    """
     drop_attempt(attempt, context)
     context.log(
         'run over',
@@ -94,25 +101,25 @@
     if found is None:
         return
     job, task = found
-    waits_since_ms = task.ready_ms
+    ready_since_ms = task.ready_ms
     make_ready(job, task, context)
     if attempt.step.opportunistic and not attempt.seen_ms:
-        task.ready_ms = waits_since_ms
+        task.ready_ms = ready_since_ms
     if attempt.step.gang:
-        # The others would wait for this one in vain.
-        for one in _iter_members(job, task):
-            stop_task(one, context, 'a member did not start')
+        # The other members would wait for this one indefinitely.
+        for member in _iter_members(job, task):
+            stop_task(member, context, 'a member did not start')
 
 
 def avoid(attempt: Attempt, context: Context) -> None:
-    """Have the task go to another worker next time, if one fits."""
+    """Prefer other workers for the next run of the task."""
     found = find_task(attempt.key, context)
     if found is not None:
         found[1].avoided.add(attempt.worker_id)
 
 
 def make_ready(job: Job, task: Task, context: Context) -> None:
-    """Have a task started again, unless it is over or still runs."""
+    """Make a task ready to start, unless it is over or still runs."""
     is_over = task.is_done or job.is_cancelled or job.state in FINAL_STATES
     is_over = is_over or job.is_past_unknown
     is_here = _lifecycle.is_here(job, task.key)
@@ -122,7 +129,11 @@
 
 
 def take_end(worker: Worker, ended: EndedRun, context: Context) -> None:
-    """Take note of a run's end as its worker lists it."""
+    """Apply the end of a run that its worker reports.
+
+    A done task opens further steps or finishes its job, a failed run counts
+    towards the job's limit, and after any other outcome the task is ready.
+    """
     attempt = worker.attempts.get((ended.key, ended.run))
     if attempt is not None:
         drop_attempt(attempt, context)
@@ -146,7 +157,7 @@
     task.open_start = None
     if ended.checkpoint:
         task.checkpoint = ended.checkpoint
-    _faults.judge(worker, ended, context)
+    _faults.record_outcome(worker, ended, context)
     if ended.outcome is RunOutcome.DONE:
         if attempt is not None and not attempt.is_slow_start:
             run_ms = context.state.now_ms - attempt.sent_ms
@@ -159,16 +170,16 @@
 
 
 def _end_done(job: Job, task: Task, context: Context) -> None:
-    """One member's end stands for its whole gang."""
-    for one in _iter_members(job, task):
-        _lifecycle.note_done(job, one, context)
-        stop_task(one, context, 'task is done')
+    """Mark a task as done, with all members of its gang."""
+    for member in _iter_members(job, task):
+        _lifecycle.note_done(job, member, context)
+        stop_task(member, context, 'task is done')
     if job.state in FINAL_STATES:
         stop_job(job, context, 'job is finished')
 
 
 def _iter_members(job: Job, task: Task) -> t.Iterator[Task]:
-    """Iterate over the tasks that end with a task: its gang, or itself."""
+    """Yield all tasks of a task's gang, or the task itself without one."""
     step = job.request.steps[task.key.step]
     if not step.gang:
         yield task
@@ -189,7 +200,7 @@
         return
     if task.is_done or job.state in FINAL_STATES or job.is_cancelled:
         return
-    # A gang's run fails once, whichever of its members did.
+    # Failures of a gang's members in the same run count once.
     counted = next(_iter_members(job, task))
     counted.failed_runs.add(ended.run)
     _lifecycle.mark_dirty(job, context.state)
@@ -199,7 +210,7 @@
 
 
 def stop_job(job: Job, context: Context, why: str) -> None:
-    """Stop all that runs of a job."""
+    """Stop all runs of a job."""
     for task in job.tasks.values():
         stop_task(task, context, why)
 
@@ -211,7 +222,10 @@
 
 
 def stop_attempt(attempt: Attempt, context: Context, why: str) -> None:
-    """Order a run to stop; its room is free once its end is listed."""
+    """Order a run to stop.
+
+    Its reservation lasts until the worker reports the end of the run.
+    """
     if attempt.state is AttemptState.STOPPING:
         return
     attempt.state = AttemptState.STOPPING
@@ -226,7 +240,7 @@
 
 
 def send_stop(attempt: Attempt, context: Context) -> None:
-    """Send the order to stop, unless the worker is not known."""
+    """Send an order to stop, if the worker is known."""
     worker = context.state.workers.get(attempt.worker_id)
     if worker is None:
         return
@@ -237,7 +251,7 @@
 def order_stop(
     worker: Worker, key: TaskKey, run: int, context: Context
 ) -> None:
-    """Order a worker to stop a run, whether or not it is known here."""
+    """Order a worker to stop a run, which may be unknown to this owner."""
     context.emit(
         StopRun(
             worker.worker_id,
@@ -250,7 +264,7 @@
 
 
 def stop_again(worker: Worker, context: Context) -> None:
-    """Repeat orders to stop that brought no answer."""
+    """Repeat the orders to stop that a worker hasn't answered in time."""
     limit_ms = context.state.now_ms - STOP_AGAIN_MS
     for attempt in worker.attempts.values():
         is_open = (
--- a/src/tulippin/jobs/_committing.py
+++ b/src/tulippin/jobs/_committing.py
@@ -1,4 +1,8 @@
-"""Loading the unit, and making progress durable by group commit."""
+"""Loading a unit's rows, and committing progress in groups.
+
+The scheduler core calls ``tick`` and ``commit_if_due``; the handlers apply the
+rows of the unit, changes of the jobs table and the results of commits.
+"""
 
 from __future__ import annotations
 
@@ -38,29 +42,29 @@
 from tulippin.jobs.state import Job, Phase, SchedulerState
 from tulippin.jobs.types import FINAL_STATES, JobState, Step
 
-# A transaction takes 100 entries: a job's progress is a condition and a
-# write, and the epoch one condition more.
-_JOBS_PER_COMMIT: t.Final = 45
-# Ends that finish no job wait so long for others to share their commit.
-_GATHER_MS: t.Final = 120
-_REMOVE_PER_CALL: t.Final = 30
-# How often finished jobs are looked through.
-_SWEEP_EVERY_MS: t.Final = 2000
+# A transaction is limited to 100 entries: a condition and a write for the
+# progress of each job, and a condition on the epoch.
+_MAX_JOBS_PER_COMMIT: t.Final = 45
+# Delay of a commit without a final state, so that further ends can join it.
+_COMMIT_DELAY_MS: t.Final = 120
+_MAX_REMOVALS_PER_CALL: t.Final = 30
+# Interval between two checks for finished jobs to remove.
+_REMOVAL_INTERVAL_MS: t.Final = 2000
 
 
 @handle.register
-def _load(event: UnitLoaded, context: Context) -> None:
+def _handle_unit_loaded(event: UnitLoaded, context: Context) -> None:
     state = context.state
     if state.ownership.phase is not Phase.LOADING:
         return
     if event.epoch_version < state.ownership.epoch_version:
-        # Read for an earlier ownership: what changed since is in neither
-        # this reading nor the feed that goes on from the newer one.
+        # Read for an earlier epoch: changes made since then are neither in
+        # this result nor in the feed, which continues from a later read.
         return
     if event.epoch_version > state.ownership.epoch_version:
-        # The jobs may be newer than our ownership, and the feed that goes
-        # on from them would not tell of the taking.
-        _ownership.step_down(context, 'another owner took it meanwhile')
+        # The jobs may be newer than this ownership, and the feed, which
+        # continues from them, would not show the takeover.
+        _ownership.step_down(context, 'the loaded rows show another owner')
         return
     state.ownership.phase = Phase.ACTIVE
     state.roster_version = event.roster_version
@@ -73,10 +77,10 @@
         _unseen.begin(event.account, context)
     _advising.restore(event, context)
     jobs = _lifecycle.add_rows(event.jobs, context)
-    state.unread_jobs.update(_lifecycle.list_unread(event.jobs, state))
+    state.unread_jobs.update(_lifecycle.list_unreadable_jobs(event.jobs, state))
     _restore(jobs, event.progress, context)
-    _unseen.note_tasks(event.account, context)
-    _take_up_all(jobs, event, context)
+    _unseen.record_reported_tasks(event.account, context)
+    _open_loaded_jobs(jobs, event, context)
     context.log(
         'unit loaded',
         epoch=context.fencing_token,
@@ -89,64 +93,73 @@
     )
 
 
-def _take_up_all(jobs: list[Job], event: UnitLoaded, context: Context) -> None:
-    """Have the tasks of loaded jobs started as far as they may be."""
+def _open_loaded_jobs(
+    jobs: list[Job], event: UnitLoaded, context: Context
+) -> None:
+    """Make the tasks of loaded jobs ready.
+
+    Each job also gets to know whether its tasks have to wait for workers that
+    may hold unconfirmed runs.
+    """
     state = context.state
     for job in jobs:
-        # Until every worker has answered or lapsed, a task that is not
-        # seen anywhere may still run; but no earlier owner has started
-        # what was accepted after our taking.
+        # Until each worker has answered or its lease has lapsed, a task that
+        # no worker reports may still run. Jobs that were accepted after the
+        # takeover can't have been started by an earlier owner.
         is_new = job.row_version > state.ownership.epoch_version
         job.awaits_workers = job.is_guest or not is_new
         if is_new and not job.is_guest:
             job.knows_places = True
         elif job.durable is None or event.roster is None:
-            # Of workers that are on no roster nothing tells when they are sure.
+            # Without a roster, the end of unconfirmed runs isn't known for
+            # workers that aren't listed.
             job.knows_places = False
         job.is_resumed = job.has_begun
-        _take_up(job, context)
+        _open_job(job, context)
     _demand.take_over(state)
 
 
 def _restore(
     jobs: list[Job], progress: tuple[StoredRow, ...], context: Context
 ) -> None:
-    """Apply what is durable of jobs that were just read."""
+    """Apply the stored progress of jobs that were just read."""
     by_id = {job.job_id: job for job in jobs}
     for row in progress:
         job = by_id.get(row.key)
         if job is not None:
-            _restore_surely(job, row, context)
+            _try_restore(job, row, context)
             _passing.send(job, context)
 
 
-def _restore_surely(job: Job, row: StoredRow, context: Context) -> None:
-    """Apply a job's progress; an error withholds the job, and no other.
+def _try_restore(job: Job, row: StoredRow, context: Context) -> None:
+    """Apply a job's progress, and withhold the job if that raises an error.
 
-    It may be half applied. Nothing is started of a job of which it is not
-    known what is done, and the others are not kept waiting for that.
+    The progress may be applied in part, so it isn't known which tasks are
+    done, and none is started. Catches any error, so that other jobs go on.
     """
     try:
         _lifecycle.restore(job, row, context)
     except Exception as error:
-        # What is written of its end has to stand over this row.
+        # The commit of the job's final state has to overwrite this row.
         job.progress_version = row.version
-        _lifecycle.tell_failed_row(error, row, context)
+        _lifecycle.report_failed_row(error, row, context)
         _lifecycle.withhold(job, context, f'its progress raised {error!r}')
 
 
 @handle.register
-def _change_jobs(event: JobsChanged, context: Context) -> None:
+def _handle_jobs_changed(event: JobsChanged, context: Context) -> None:
     state = context.state
     if not _ownership.is_loaded(state):
         return
     if event.epoch_version > state.ownership.epoch_version:
-        # Whatever came with it, or later, is the next owner's to start.
+        # The next owner starts the jobs of this and later changes.
         _ownership.step_down(context, 'the feed of jobs shows another owner')
         return
-    before = {job_id for job_id, job in state.jobs.items() if job.is_cancelled}
+    cancelled_before = {
+        job_id for job_id, job in state.jobs.items() if job.is_cancelled
+    }
     added = _lifecycle.add_rows(event.rows, context)
-    _withhold_unread(added, context)
+    _withhold_unreadable(added, context)
     _restore(added, event.progress, context)
     if added:
         state.arrived_ms = state.now_ms
@@ -155,49 +168,49 @@
             'job taken up',
             job=job.job_id,
             queue=job.queue.name,
-            steps=[_describe(step) for step in job.request.steps],
+            steps=[_describe_step(step) for step in job.request.steps],
             version=job.row_version,
         )
         _reports.adopt_strays(job, context)
-        _take_up(job, context)
+        _open_job(job, context)
     for row in event.rows:
         job_id = row.key.partition('/')[0]
         job = state.jobs.get(job_id)
         if job is None:
             continue
-        if job.is_cancelled and job_id not in before:
+        if job.is_cancelled and job_id not in cancelled_before:
             _cancel(job, context)
         elif row.key.endswith((GUEST_SUFFIX, FAIL_SUFFIX)):
-            _take_up(job, context)
+            _open_job(job, context)
 
 
-def _withhold_unread(jobs: list[Job], context: Context) -> None:
-    """Start nothing of jobs that could not be read with their unit.
+def _withhold_unreadable(jobs: list[Job], context: Context) -> None:
+    """Withhold jobs whose rows were unreadable when the unit was loaded.
 
-    Earlier owners may have known them, and this one did not see what they
-    left of them.
+    Earlier owners may have started their tasks, and the progress that they
+    stored was not loaded.
     """
     for job in jobs:
         if job.job_id in context.state.unread_jobs:
             _lifecycle.withhold(job, context, 'its row was unreadable')
 
 
-def _describe(step: Step) -> dict[str, t.Any]:
-    """Return what a step asks for, without what it leaves at zero."""
+def _describe_step(step: Step) -> dict[str, t.Any]:
+    """Return the fields of a step that differ from their defaults."""
     return attrs.asdict(
         step, filter=lambda field, value: value not in {field.default, None}
     )
 
 
-def _take_up(job: Job, context: Context) -> None:
+def _open_job(job: Job, context: Context) -> None:
     if job.is_cancelled:
         _cancel(job, context)
     elif job.is_given_up:
         _giving_up.fail(job, job.reason, context)
     elif job.state not in FINAL_STATES:
         _lifecycle.open_steps(job, context.state)
-        if _lifecycle.has_lasting(job):
-            # The next owner then knows which of its tasks have never run.
+        if _lifecycle.has_long_running(job):
+            # The next owner then knows which of the tasks have never run.
             _lifecycle.mark_dirty(job, context.state)
 
 
@@ -212,18 +225,21 @@
 
 
 def tick(context: Context) -> None:
-    """Begin a commit if one is due, and keep the roster."""
+    """Commit progress, roster and models if due, and remove old jobs."""
     state = context.state
     if state.ownership.phase is not Phase.ACTIVE:
         return
     commit_if_due(context)
-    _keep_roster(context)
+    _commit_roster_if_changed(context)
     _memory.tick(context)
-    _remove_old(context)
+    _remove_finished_jobs(context)
 
 
 def commit_if_due(context: Context) -> None:
-    """Begin a commit: at once for a final state, else in a group."""
+    """Begin a commit if progress waits for one.
+
+    A final state is committed at once, other progress after a delay.
+    """
     state = context.state
     if state.is_committing or state.ownership.phase is not Phase.ACTIVE:
         return
@@ -233,10 +249,10 @@
         if job_id in state.jobs
     )
     if not state.dirty_jobs:
-        _note_seen(context)
+        _acknowledge_ends(context)
         return
     waited_ms = state.now_ms - state.dirty_since_ms
-    if not is_urgent and waited_ms < _GATHER_MS:
+    if not is_urgent and waited_ms < _COMMIT_DELAY_MS:
         return
     _commit(context)
 
@@ -246,7 +262,7 @@
     chosen = sorted(
         state.dirty_jobs,
         key=lambda job_id: state.jobs[job_id].state not in FINAL_STATES,
-    )[:_JOBS_PER_COMMIT]
+    )[:_MAX_JOBS_PER_COMMIT]
     writes = []
     for job_id in chosen:
         job = state.jobs[job_id]
@@ -259,7 +275,7 @@
     if not state.dirty_jobs:
         ends = _collect_ends(state)
     if not writes:
-        _settle_ends(ends, state)
+        _record_settled_ends(ends, state)
         return
     state.is_committing = True
     state.dirty_since_ms = state.now_ms
@@ -276,27 +292,29 @@
     }
 
 
-def _note_seen(context: Context) -> None:
-    """Nothing waits to become durable: all ends read may be forgotten."""
-    _settle_ends(_collect_ends(context.state), context.state)
+def _acknowledge_ends(context: Context) -> None:
+    """Acknowledge all ends that were read, as no progress is uncommitted."""
+    _record_settled_ends(_collect_ends(context.state), context.state)
 
 
-def _settle_ends(ends: dict[str, int], state: SchedulerState) -> None:
+def _record_settled_ends(ends: dict[str, int], state: SchedulerState) -> None:
     for worker_id, number in ends.items():
         worker = state.workers.get(worker_id)
         if worker is not None and number > worker.last_seen:
             worker.last_seen = number
             worker.unsettled = {
-                one: key
-                for one, key in worker.unsettled.items()
-                if one > number
+                end_number: key
+                for end_number, key in worker.unsettled.items()
+                if end_number > number
             }
             worker.needs_ack = True
             worker.hold_after_ms = min(worker.hold_after_ms, state.now_ms)
 
 
 @handle.register
-def _committed(event: ProgressCommitted, context: Context) -> None:
+def _handle_progress_committed(
+    event: ProgressCommitted, context: Context
+) -> None:
     state = context.state
     if event.commit.epoch_version != state.ownership.epoch_version:
         return
@@ -313,18 +331,18 @@
             state.is_placing_due = True
             state.is_sending_due = True
             _passing.send(job, context)
-    _settle_ends(event.commit.ends, state)
+    _record_settled_ends(event.commit.ends, state)
 
 
 # -- the roster ---------------------------------------------------------------
 
 
-def _keep_roster(context: Context) -> None:
-    """Keep the workers known that orders of ours may reach.
+def _commit_roster_if_changed(context: Context) -> None:
+    """Commit the roster, the workers that may have orders of this owner.
 
-    A worker is written down before its first order, and struck out once
-    it is gone and nothing can run there. One of a service that no
-    configuration has named yet gets no order.
+    A worker is added before its first order, and removed once it is gone and
+    no run can be left there. Workers of services that the configuration
+    doesn't name are not added and get no orders.
     """
     state = context.state
     if state.is_roster_committing:
@@ -332,7 +350,8 @@
     wanted = {
         worker.worker_id: worker.entry.address
         for worker in state.workers.values()
-        if worker.is_rostered or _is_named(worker.entry.service, state)
+        if worker.is_rostered
+        or _is_configured_service(worker.entry.service, state)
     }
     if wanted == state.roster:
         return
@@ -346,13 +365,13 @@
     )
 
 
-def _is_named(service: str, state: SchedulerState) -> bool:
-    known = state.configuration
-    return known is None or service in known.service_names
+def _is_configured_service(service: str, state: SchedulerState) -> bool:
+    configuration = state.configuration
+    return configuration is None or service in configuration.service_names
 
 
 @handle.register
-def _roster_committed(event: RosterCommitted, context: Context) -> None:
+def _handle_roster_committed(event: RosterCommitted, context: Context) -> None:
     state = context.state
     if event.epoch_version != state.ownership.epoch_version:
         return
@@ -372,14 +391,14 @@
 
 
 @handle.register
-def _model_kept(event: ModelKept, context: Context) -> None:
+def _handle_model_kept(event: ModelKept, context: Context) -> None:
     context.state.is_model_committing = False
 
 
-def _remove_old(context: Context) -> None:
-    """Forget jobs whose final state has been kept long enough."""
+def _remove_finished_jobs(context: Context) -> None:
+    """Remove jobs that finished longer ago than the retention time."""
     state = context.state
-    if state.now_ms - state.swept_ms < _SWEEP_EVERY_MS:
+    if state.now_ms - state.swept_ms < _REMOVAL_INTERVAL_MS:
         return
     state.swept_ms = state.now_ms
     limit_ms = state.now_ms - state.config.finished_kept_ms
@@ -390,12 +409,16 @@
         and job.finished_ms < limit_ms
         and job.job_id not in state.dirty_jobs
         and not any(task.attempts for task in job.tasks.values())
-    ][:_REMOVE_PER_CALL]
+    ][:_MAX_REMOVALS_PER_CALL]
     if not old or state.is_committing:
         return
-    guests = frozenset(one for one in old if state.jobs[one].is_guest)
+    transferred = frozenset(
+        job_id for job_id in old if state.jobs[job_id].is_guest
+    )
     for job_id in old:
         del state.jobs[job_id]
         state.tails.pop(job_id, None)
         state.scheduled.discard(job_id)
-    context.emit(RemoveJobs(tuple(old), state.ownership.epoch_version, guests))
+    context.emit(
+        RemoveJobs(tuple(old), state.ownership.epoch_version, transferred)
+    )
--- a/src/tulippin/jobs/_crashes.py
+++ b/src/tulippin/jobs/_crashes.py
@@ -1,30 +1,30 @@
-"""Tasks that crash the workers that start them, told from those beside them.
-
-A worker that crashes takes along all that runs there, and most of it is
-sound. A task that crashes each worker costs one at each start, every 3.5 s:
-two such jobs took 144 workers in 100 s where nothing was counted. So it is
-kept, by task and by worker's life, which runs had begun soon before their
-worker died, and what is under suspicion is started apart:
-
-- A run that its worker told for five seconds is above suspicion; so is one
-  on a worker that left as planned.
-- A task under which a worker died within a second is started where no other
-  such run has yet to prove itself, and where least is lost. After a second
-  crash nothing else is started there meanwhile, and no other suspect of its
-  job at all. That parts the one that crashes from those that died with it:
-  with the next crash it alone has one more.
-- The third crash gives the job up if two of them came while nothing else had
-  just begun on the worker, the fourth if one did, and the fifth in any case,
-  of those whose run or whose worker was seen after the order.
-  With two, a sound task would do whose worker died beside a crashing one and
-  whose next worker dies by itself; each more costs a worker with little on
-  it. Five starts are what the users bear.
-
-What is counted is made durable before the task is started again, and where
-it is to be started before a suspect's order is sent, so that the next owner
-counts on. Other short tasks are started at once, and made durable later: one
-may be lost with its owner and its worker. The next owner counts that to each
-job of which it may have been.
+"""Counting worker crashes by task, to find tasks that crash their workers.
+
+A worker that crashes ends all of its runs, most of which didn't cause the
+crash. A task that crashes each of its workers costs one at each start, every
+3.5 s: without counting, two such jobs crash 144 workers in 100 s. Therefore
+each task records the workers (one record for each incarnation) that crashed
+soon after its run had begun, and suspected tasks are started in isolation:
+
+- A run that its worker has reported for five seconds is cleared, and so is
+  one on a worker that left as planned.
+- A task whose worker crashed within a second is started on a worker without
+  other runs on probation and where a crash loses least. After the second
+  crash nothing else is started there during the probation, and no other
+  suspected task of its job is started at all. This separates the crashing
+  task from those that ended with it: the next crash counts for it alone.
+- The third crash abandons the job if during two of them nothing else had
+  just begun on the worker, the fourth if that holds for one, and the fifth in
+  any case. Crashes count in full where the run or the worker was seen after
+  the order. A limit of two would abandon a job whose task ran beside a
+  crashing one and whose next worker crashed by itself. Each further start
+  costs a worker with little on it; up to five starts are acceptable.
+
+Crashes are made durable before the task is started again, and the assigned
+worker before the order of a suspected task is sent, so that the next owner
+continues the count. Other short tasks are started at once and made durable
+later, so a start may be lost together with its owner and its worker. The next
+owner counts a possible lost start for each job that it may belong to.
 """
 
 from __future__ import annotations
@@ -46,42 +46,43 @@
 )
 from tulippin.jobs.types import FINAL_STATES
 
-# A job is given up at so many crashes under one task, where those count one
-# more that came while nothing else had just begun on the worker, and those
-# half after whose order no answer came: the worker may have been dead before.
-_ENOUGH: t.Final = 5
-_UNSEEN: t.Final = 0.5
-# Starts that may have been lost count as so many crashes at most, and only
-# beside so many that were seen.
-_MOST_DOUBTS: t.Final = 2
-_LEAST_SEEN: t.Final = 3
-_MOST_TOLD: t.Final = 8
-# An answer that comes so soon after an order may have been on its way before.
-_UNDER_WAY_MS: t.Final = 100
+# A job is abandoned when the crashes of one task weigh this much. A crash
+# weighs 1, and 1 more if nothing else had just begun on the worker. It weighs
+# 0.5 less if no answer followed the order, as the worker may have crashed
+# before.
+_ABANDON_WEIGHT: t.Final = 5
+_UNSEEN_CRASH_WEIGHT: t.Final = 0.5
+# Possibly lost starts count as at most this many crashes, and only in addition
+# to the minimum number of crashes that were seen.
+_MAX_LOST_STARTS: t.Final = 2
+_MIN_SEEN_CRASHES: t.Final = 3
+_MAX_LOGGED_SUSPECTS: t.Final = 8
+# An answer that arrives this soon after an order may precede the order.
+_MAX_IN_FLIGHT_MS: t.Final = 100
 
 
-# -- what is counted ----------------------------------------------------------
+# -- counting crashes ---------------------------------------------------------
 
 
 def note_silence(worker: Worker, context: Context) -> None:
-    """Keep which runs had just begun on a worker that has gone silent.
+    """Record a suspected crash for recent runs of a silent worker.
 
-    It may be cut off and at work. But where its owner is lost too, nobody
-    else knows of the runs.
+    The worker may only be disconnected. But if its owner crashes too, no
+    other record of these runs exists.
     """
-    _blame(worker, context, is_sure=False)
+    _record_crashes(worker, context, is_sure=False)
 
 
 def note_end_of_life(worker: Worker, context: Context) -> None:
-    """Count the crash of a worker, another life of which was met."""
+    """Count the crash of a worker whose next incarnation was seen."""
     state = context.state
     if worker.leaves_at_ms:
-        # It left as it said.
-        _forget(worker.worker_id, context)
+        # The worker left as announced.
+        _remove_crashes(worker.worker_id, context)
         return
     if not worker.is_reconciled:
         state.lost_unread[worker.worker_id] = True
-    _blame(worker, context, is_sure=True)
+    _record_crashes(worker, context, is_sure=True)
     for job, task in list_suspects(state):
         record = task.crashes.get(worker.worker_id)
         if record is not None and not record.is_sure:
@@ -97,37 +98,41 @@
         worker=worker.worker_id,
         silent_ms=state.now_ms - worker.answered_ms,
         runs=len(worker.attempts),
-        suspects=sorted(suspects)[:_MOST_TOLD],
+        suspects=sorted(suspects)[:_MAX_LOGGED_SUSPECTS],
     )
 
 
-def _blame(worker: Worker, context: Context, *, is_sure: bool) -> None:
-    """Keep under which runs a worker died, or may have.
+def _record_crashes(worker: Worker, context: Context, *, is_sure: bool) -> None:
+    """Record a crash, or a suspected one, for the recent runs of a worker.
 
-    Beside one that had yet to prove itself, those that were under suspicion
-    and have done so are not to blame: five of six sound tasks would have a
-    second crash counted beside a worker's next one.
+    If a run there was on probation, suspected runs that had passed theirs are
+    left out: otherwise, of six healthy tasks, five have a second crash counted
+    when their next worker crashes.
     """
-    blamed = [
+    suspected = [
         attempt
         for attempt in worker.attempts.values()
         if attempt.is_ordered and _trials.is_recent(attempt, worker)
     ]
     if _trials.has_trials(worker):
-        blamed = [
-            one for one in blamed if not _has_passed(one, worker, context)
+        suspected = [
+            attempt
+            for attempt in suspected
+            if not _has_passed(attempt, worker, context)
         ]
-    for attempt in blamed:
-        is_clear = len(blamed) == 1 and attempt.probation_ms > 0
-        _note(attempt, worker, context, is_sure=is_sure, is_clear=is_clear)
+    for attempt in suspected:
+        is_clear = len(suspected) == 1 and attempt.probation_ms > 0
+        _record_crash(
+            attempt, worker, context, is_sure=is_sure, is_clear=is_clear
+        )
 
 
 def _has_passed(attempt: Attempt, worker: Worker, context: Context) -> bool:
-    """Whether a run under suspicion has lived longer than those that crashed.
+    """Whether a suspected run has outlasted the crashed runs of its task.
 
-    None has where it is not known for how long one of those was there, or
-    whether it was: a task that ends its workers after 3 s would outlive a
-    second each time.
+    False if it isn't known how long one of the crashed runs lasted, or
+    whether it existed: a task that crashes its workers after 3 s would pass a
+    probation of a second each time.
     """
     if not attempt.probation_ms or _trials.is_on_probation(attempt, worker):
         return False
@@ -135,11 +140,12 @@
     if found is None:
         return True
     return all(
-        one.is_age_known and one.is_seen for one in found[1].crashes.values()
+        crash.is_age_known and crash.is_seen
+        for crash in found[1].crashes.values()
     )
 
 
-def _note(
+def _record_crash(
     attempt: Attempt,
     worker: Worker,
     context: Context,
@@ -147,7 +153,7 @@
     is_sure: bool,
     is_clear: bool,
 ) -> None:
-    """Keep that a worker died, or may have, soon after a run began."""
+    """Record that a worker crashed, or may have, soon after a run began."""
     state = context.state
     found = _attempts.find_task(attempt.key, context)
     if found is None:
@@ -158,7 +164,7 @@
     if worker.worker_id in task.crashes:
         return
     entry = worker.entry
-    _add(
+    _add_crash(
         job,
         task,
         CrashRecord(
@@ -166,12 +172,12 @@
             entry.address,
             entry.machine,
             attempt.run,
-            _trials.get_age_ms(attempt, worker),
+            _trials.get_known_age_ms(attempt, worker),
             get_wall_ms(state),
             is_sure,
             is_clear,
             _is_seen(attempt, worker),
-            # One that was taken over has no order of this owner's.
+            # A run that was taken over was not ordered by this owner.
             is_age_known=attempt.start_deadline_ms > 0,
         ),
         state,
@@ -179,19 +185,20 @@
 
 
 def _is_seen(attempt: Attempt, worker: Worker) -> bool:
-    """Whether a run was told of, or its worker lived on after the order.
+    """Whether a run was reported, or its worker answered after the order.
 
-    An order may be long on its way, and its run end the worker before an
-    answer tells of it: five such crashes would not be enough.
+    An order may be delayed, and its run may crash the worker before an answer
+    reports the run. Without the second condition, five such crashes would not
+    reach the limit.
     """
-    lived_ms = _trials.get_age_ms(attempt, worker)
-    return attempt.seen_ms > 0 or lived_ms > _UNDER_WAY_MS
+    age_ms = _trials.get_known_age_ms(attempt, worker)
+    return attempt.seen_ms > 0 or age_ms > _MAX_IN_FLIGHT_MS
 
 
-def _add(
+def _add_crash(
     job: Job, task: Task, record: CrashRecord, state: SchedulerState
 ) -> None:
-    """Count a crash to a task."""
+    """Add a crash record to a task, which becomes a suspected one."""
     task.crashes[record.worker_id] = record
     state.suspects.add(task.key)
     state.count('crashes_suspected')
@@ -199,30 +206,31 @@
 
 
 def get_wall_ms(state: SchedulerState) -> int:
-    """Return the time of day, which the next owner knows too."""
+    """Return the wall clock time, which is comparable between instances."""
     return state.now_ms + state.wall_offset_ms
 
 
 def note_answer(worker: Worker, context: Context) -> None:
-    """Take back what a worker was suspected of that answers again."""
-    _forget(worker.worker_id, context)
+    """Remove the suspected crashes of a worker that answers again."""
+    _remove_crashes(worker.worker_id, context)
 
 
-def _forget(worker_id: str, context: Context) -> None:
+def _remove_crashes(worker_id: str, context: Context) -> None:
+    """Remove the crash records of a worker from all tasks."""
     for job, task in list_suspects(context.state):
         if task.crashes.pop(worker_id, None) is not None:
             _lifecycle.mark_dirty(job, context.state)
 
 
 def note_running(attempt: Attempt, context: Context) -> None:
-    """Take in that a worker tells a run, and clear one that lives on."""
+    """Apply a worker's report of a run; clear a run that has lasted."""
     found = _attempts.find_task(attempt.key, context)
     if found is None:
         return
     job, task = found
     task.open_start = None
     age_ms = context.state.now_ms - attempt.sent_ms
-    if attempt.is_proved or age_ms < _trials.RECENT_MS:
+    if attempt.is_proved or age_ms < _trials.MAX_SUSPECT_AGE_MS:
         return
     attempt.is_proved = True
     task.crashes.clear()
@@ -230,7 +238,7 @@
 
 
 def list_suspects(state: SchedulerState) -> list[tuple[Job, Task]]:
-    """Return the tasks under which workers died, and strike others off."""
+    """Return the open tasks with crash records, and drop other suspects."""
     found = []
     for key in list(state.suspects):
         job = state.jobs.get(key.job_id)
@@ -243,13 +251,14 @@
     return found
 
 
-# -- what is started ----------------------------------------------------------
+# -- deciding whether a task may be started -----------------------------------
 
 
 def may_start(job: Job, task: Task, state: SchedulerState) -> bool:
-    """Whether a ready task may be started, if a worker takes it.
+    """Whether a ready task may be started, given a worker with capacity.
 
-    It may not while it may run somewhere unseen, or its crashes forbid it.
+    It may not while it may have an unconfirmed run, or while its crashes
+    require it to wait.
     """
     if _unseen.is_awaited(task, state):
         return False
@@ -257,41 +266,49 @@
 
 
 def _must_wait(job: Job, task: Task, state: SchedulerState) -> bool:
-    """Whether a task may not be started, whatever room there is.
+    """Whether the crashes of a task forbid its start at present.
 
-    So it is until all that is known of its crashes is durable, and while it
-    is open whether they are one too many. Of a job's tasks others wait while
-    one of them is the likeliest to blame: they would be lost with the job.
+    A task waits until its crashes are durable, and while they are enough to
+    abandon the job if all of them are confirmed. It also waits while another
+    task of the job is the more likely cause, as the job may be abandoned.
     """
     if task.open_start is not None:
-        _judge_open_start(job, task, state)
+        _resolve_open_start(job, task, state)
     if task.open_start is not None:
         return True
-    if not _are_doubts_durable(job, task):
+    if not _are_lost_starts_durable(job, task):
         return True
     if not task.crashes:
         return False
-    if is_enough(job, task, task.list_crashes()) or not _is_durable(job, task):
+    if is_crash_limit_reached(
+        job, task, task.list_crashes()
+    ) or not _are_crashes_durable(job, task):
         return True
-    return _trials.is_on_trial(task) and _waits_for_sibling(job, task, state)
+    return _trials.needs_isolation(task) and _is_preceded_by_sibling(
+        job, task, state
+    )
 
 
-def _judge_open_start(job: Job, task: Task, state: SchedulerState) -> None:
-    """Tell what became of an earlier owner's start that nobody reports."""
+def _resolve_open_start(job: Job, task: Task, state: SchedulerState) -> None:
+    """Resolve a start of an earlier owner that no worker reports.
+
+    Counts a crash if the worker was lost before it reported its runs.
+    """
     run, worker_id = t.cast(tuple[int, str], task.open_start)
     worker = state.workers.get(worker_id)
-    if worker is not None and not _unseen.is_sure(worker, state):
+    if worker is not None and not _unseen.are_runs_confirmed(worker, state):
         return
     task.open_start = None
     is_lapsed = worker is not None and not worker.is_reconciled
     if worker_id not in state.lost_unread and not is_lapsed:
-        # It told all that it runs, or an earlier owner saw it go.
+        # The worker reported all of its runs, or an earlier owner saw it
+        # leave.
         return
     if worker is not None and worker.leaves_at_ms:
         return
-    known = task.crashes.get(worker_id)
-    if known is not None and run in {0, known.run}:
-        # Its owner told more of it than that it was started.
+    recorded = task.crashes.get(worker_id)
+    if recorded is not None and run in {0, recorded.run}:
+        # Its owner recorded the crash, with more detail.
         return
     entry = worker.entry if worker is not None else None
     record = CrashRecord(
@@ -299,44 +316,51 @@
         entry.address if entry else '',
         entry.machine if entry else '',
         run,
-        _trials.SOON_MS,
+        _trials.EARLY_CRASH_MS,
         get_wall_ms(state),
         state.lost_unread.get(worker_id, False),
-        # That it was started is all that the next owner is told.
+        # Only the start was recorded for the next owner.
         is_seen=True,
         is_age_known=False,
     )
-    _add(job, task, record, state)
+    _add_crash(job, task, record, state)
 
 
 def doubt(jobs: t.Iterable[Job], state: SchedulerState) -> None:
-    """Note which jobs' tasks may have crashed a worker unseen.
-
-    No row tells what an earlier owner started in its last moments, or while
-    the store took no writes. Where a worker has died since, each short task
-    that waits, and of which nothing is known, may have been there.
+    """Count a possible lost start for jobs that may have crashed a worker.
+
+    No row records what an earlier owner started in its last moments, or while
+    the store accepted no writes. If a worker has crashed since, each waiting
+    short task without a record may have run there.
+
+    Parameters
+    ----------
+    jobs : iterable of Job
+        The jobs that have waited for workers with unconfirmed runs.
+    state : SchedulerState
+        The state of the unit.
     """
     job_ids = {job.job_id for job in jobs}
-    if not (job_ids and _has_lost_unread(state)):
+    if not (job_ids and _is_any_worker_lost(state)):
         return
-    doubted = {
+    affected_ids = {
         kind[0]: None
         for queue in (state.ready, state.ready_idle)
         for kind, tasks in queue.items()
         if kind[0] in job_ids
         and any(
-            _may_be_lost(state.jobs[kind[0]], task, state)
+            _may_have_lost_start(state.jobs[kind[0]], task, state)
             for task in tasks.values()
         )
     }
-    for job_id in doubted:
+    for job_id in affected_ids:
         job = state.jobs[job_id]
         job.doubts += 1
         _lifecycle.mark_dirty(job, state)
 
 
-def _has_lost_unread(state: SchedulerState) -> bool:
-    """Whether a worker has died, or lapsed, that might run anything."""
+def _is_any_worker_lost(state: SchedulerState) -> bool:
+    """Whether a worker that might run any task has crashed or lapsed."""
     for worker_id in state.lost_unread:
         worker = state.workers.get(worker_id)
         if worker is None or worker.may_run_anything:
@@ -347,13 +371,14 @@
     )
 
 
-def _may_be_lost(job: Job, task: Task, state: SchedulerState) -> bool:
-    """Whether a waiting task may have been started where no row tells it.
+def _may_have_lost_start(job: Job, task: Task, state: SchedulerState) -> bool:
+    """Whether a waiting task may have had a start that no row records.
 
-    Long-running ones, and those under suspicion, are not before it is durable.
+    Starts of long-running and of suspected tasks are durable before their
+    order is sent.
     """
     if task.open_start is not None:
-        _judge_open_start(job, task, state)
+        _resolve_open_start(job, task, state)
     return _is_short(job, task) and not task.crashes
 
 
@@ -361,49 +386,54 @@
     return not job.request.steps[task.key.step].long_running
 
 
-def _are_doubts_durable(job: Job, task: Task) -> bool:
-    """Whether the next owner would know of starts that may have been lost.
+def _are_lost_starts_durable(job: Job, task: Task) -> bool:
+    """Whether the possible lost starts of a short task's job are durable.
 
-    Without that each owner that is lost would take the next start for the
-    first one.
+    Otherwise, if owners crash before their commits, each successor starts the
+    count again.
     """
     if not job.doubts or not _is_short(job, task):
         return True
     return job.durable is not None and job.durable.doubts >= job.doubts
 
 
-def _is_durable(job: Job, task: Task) -> bool:
-    """Whether the store tells the same of a task's crashes."""
+def _are_crashes_durable(job: Job, task: Task) -> bool:
+    """Whether the stored crash records of a task are up to date."""
     if job.durable is None:
         return False
     name = _lifecycle.get_name(task.key)
-    kept = job.durable.crashes.get(name, ())
-    return kept == task.list_crashes()
+    stored = job.durable.crashes.get(name, ())
+    return stored == task.list_crashes()
+
 
+def _is_preceded_by_sibling(
+    job: Job, task: Task, state: SchedulerState
+) -> bool:
+    """Whether another suspected task of the job precedes this one.
 
-def _waits_for_sibling(job: Job, task: Task, state: SchedulerState) -> bool:
-    """Whether another task of the job is to be tried, or is, before this."""
-    own = _get_rank(task)
+    The other one is the more likely cause, or has a run on probation.
+    """
+    own_rank = _get_rank(task)
     step = job.request.steps[task.key.step]
     for other in job.tasks.values():
-        if other is task or len(other.crashes) < _trials.CLOSING_COUNT:
+        if other is task or len(other.crashes) < _trials.ISOLATING_CRASH_COUNT:
             continue
         if step.gang and other.key[:3] == task.key[:3]:
             continue
         if not other.is_done and (
-            _get_rank(other) > own or _is_on_probation(other, state)
+            _get_rank(other) > own_rank or _is_on_probation(other, state)
         ):
             return True
     return False
 
 
 def _get_rank(task: Task) -> tuple[int, int]:
-    """Return how likely a task is to blame, beside its siblings."""
+    """Return the rank of a task as the cause of crashes, among its job's."""
     return len(task.crashes), -task.key.index
 
 
 def _is_on_probation(task: Task, state: SchedulerState) -> bool:
-    """Whether a run of a task has yet to prove itself."""
+    """Whether any run of a task is on probation."""
     return any(
         _trials.is_on_probation(attempt, state.workers[attempt.worker_id])
         for attempt in task.attempts.values()
@@ -411,35 +441,38 @@
     )
 
 
-def is_enough(job: Job, task: Task, crashes: t.Sequence[CrashRecord]) -> bool:
-    """Whether crashes tell that a task ends each worker that starts it.
+def is_crash_limit_reached(
+    job: Job, task: Task, crashes: t.Sequence[CrashRecord]
+) -> bool:
+    """Whether the crashes of a task are enough to abandon its job.
 
-    Starts that may have been lost are among those that users bear.
+    Possibly lost starts count as well, as they cost workers too.
     """
-    told = sum(_weigh(one) for one in crashes)
-    if _is_short(job, task) and _count_seen(crashes) >= _LEAST_SEEN:
-        told += min(job.doubts, _MOST_DOUBTS)
-    return told >= _ENOUGH
+    weight = sum(_weigh(crash) for crash in crashes)
+    if _is_short(job, task) and _count_seen(crashes) >= _MIN_SEEN_CRASHES:
+        weight += min(job.doubts, _MAX_LOST_STARTS)
+    return weight >= _ABANDON_WEIGHT
 
 
 def _count_seen(crashes: t.Sequence[CrashRecord]) -> int:
-    return sum(one.is_seen for one in crashes)
+    return sum(crash.is_seen for crash in crashes)
 
 
 def _weigh(crash: CrashRecord) -> float:
-    seen = 1 if crash.is_seen else _UNSEEN
-    return seen + crash.is_clear
+    weight = 1 if crash.is_seen else _UNSEEN_CRASH_WEIGHT
+    return weight + crash.is_clear
 
 
-# -- orders that wait to be durable -------------------------------------------
+# -- orders that wait for a commit --------------------------------------------
 
 
 def take_durable(context: Context) -> list[Attempt]:
-    """Return the runs whose orders may be sent now, and note them as sent.
+    """Return the runs whose orders may be sent now, and mark them as sent.
 
-    The next owner has to know of each start of a suspect, as one that is lost
-    with its worker and its owner would not be counted, and of each place of a
-    long-running task, as it would wait for all workers otherwise.
+    The next owner has to know each start of a suspected task, as a crash that
+    ends its worker and its owner would not be counted otherwise. It also has
+    to know the assigned worker of each long-running task, as the task would
+    wait for all workers otherwise.
     """
     state = context.state
     due = []
@@ -448,10 +481,10 @@
         if attempt.state is not AttemptState.STARTING:
             continue
         worker = state.workers.get(attempt.worker_id)
-        place = (attempt.key, attempt.run)
-        if worker is None or place not in worker.attempts:
+        attempt_key = (attempt.key, attempt.run)
+        if worker is None or attempt_key not in worker.attempts:
             continue
-        # One sent to a worker that is silent by now would count as a crash.
+        # An order to a worker that has gone silent would count as a crash.
         is_due = not worker.failed_count and _may_send(attempt, worker, state)
         (due if is_due else waiting).append(attempt)
     state.unsent = waiting
@@ -462,15 +495,15 @@
 
 
 def _may_send(attempt: Attempt, worker: Worker, state: SchedulerState) -> bool:
-    """Whether all that the next owner has to know of a start is durable."""
+    """Whether the records that the order of a run depends on are durable."""
     job = state.jobs.get(attempt.key.job_id)
-    is_place_kept = job is not None and _lifecycle.is_place_durable(
+    is_assignment_stored = job is not None and _lifecycle.is_place_durable(
         job, attempt.key, worker.worker_id
     )
-    if attempt.step.long_running and not is_place_kept:
+    if attempt.step.long_running and not is_assignment_stored:
         return False
-    is_trial = (attempt.key, attempt.run) in worker.trials
-    return not is_trial or _is_start_durable(attempt, state)
+    is_suspected = (attempt.key, attempt.run) in worker.trials
+    return not is_suspected or _is_start_durable(attempt, state)
 
 
 def _is_start_durable(attempt: Attempt, state: SchedulerState) -> bool:
--- a/src/tulippin/jobs/_giving_up.py
+++ b/src/tulippin/jobs/_giving_up.py
@@ -1,4 +1,8 @@
-"""Giving up jobs whose tasks crash their workers, once that is sure."""
+"""Abandoning jobs whose tasks crash their workers.
+
+Confirms suspected crashes and fails jobs with too many confirmed ones. The
+scheduler core calls ``tick`` at each tick.
+"""
 
 from __future__ import annotations
 
@@ -12,43 +16,46 @@
 from tulippin.jobs.state import Job, SchedulerState, Task
 from tulippin.jobs.types import FINAL_STATES, JobState
 
-# A worker that stays silent, and no next life of which is seen, is taken for
-# crashed after so long: the users' workers are back after some seconds, and
-# one that answers again takes it back.
-_SILENT_LIMIT_MS: t.Final = 15_000
-# Between two looks at what is open.
-_LOOK_EVERY_MS: t.Final = 200
+# A worker that stays silent, and whose next incarnation isn't seen, counts as
+# crashed after this time. Workers usually restart within seconds, and the
+# crash is withdrawn if the worker answers again.
+_MAX_SILENCE_MS: t.Final = 15_000
+# Interval between two checks of suspected tasks.
+_CHECK_INTERVAL_MS: t.Final = 200
 
 
 def tick(context: Context) -> None:
-    """Settle what is open of crashes, and give up jobs with too many."""
+    """Confirm suspected crashes, and abandon jobs with too many crashes."""
     state = context.state
-    is_due = state.now_ms - state.crashes_looked_ms >= _LOOK_EVERY_MS
+    is_due = state.now_ms - state.crashes_looked_ms >= _CHECK_INTERVAL_MS
     if not (is_due and state.suspects and context.may_order):
         return
     state.crashes_looked_ms = state.now_ms
     for job, task in _crashes.list_suspects(state):
-        _settle(job, task, context)
-        known = [one for one in task.list_crashes() if one.is_sure]
-        is_enough = _crashes.is_enough(job, task, known)
-        if is_enough and job.state not in FINAL_STATES:
-            _give_up(job, task, context)
+        _confirm_crashes(job, task, context)
+        confirmed = [crash for crash in task.list_crashes() if crash.is_sure]
+        is_reached = _crashes.is_crash_limit_reached(job, task, confirmed)
+        if is_reached and job.state not in FINAL_STATES:
+            _abandon(job, task, context)
 
 
-def _settle(job: Job, task: Task, context: Context) -> None:
-    """Take silent workers for crashed that have another life, or are gone."""
+def _confirm_crashes(job: Job, task: Task, context: Context) -> None:
+    """Confirm crashes of workers that were replaced or stayed silent."""
     state = context.state
     for record in list(task.crashes.values()):
-        # Instances' clocks differ; one far ahead must not keep it open.
+        # Clocks differ between instances: a record from a clock far ahead
+        # must not stay unconfirmed.
         waited_ms = abs(_crashes.get_wall_ms(state) - record.noted_ms)
-        is_over = waited_ms >= _SILENT_LIMIT_MS
-        if not record.is_sure and (is_over or _is_succeeded(record, state)):
+        is_expired = waited_ms >= _MAX_SILENCE_MS
+        if not record.is_sure and (
+            is_expired or _is_worker_replaced(record, state)
+        ):
             task.crashes[record.worker_id] = attrs.evolve(record, is_sure=True)
             _lifecycle.mark_dirty(job, state)
 
 
-def _is_succeeded(record: CrashRecord, state: SchedulerState) -> bool:
-    """Whether another life of the same machine has answered."""
+def _is_worker_replaced(record: CrashRecord, state: SchedulerState) -> bool:
+    """Whether another incarnation of the crashed worker has answered."""
     return any(
         worker.answered_ms
         and not worker.is_over
@@ -61,26 +68,26 @@
     )
 
 
-def _give_up(job: Job, task: Task, context: Context) -> None:
-    """Fail a job, as each worker that starts its task crashes."""
+def _abandon(job: Job, task: Task, context: Context) -> None:
+    """Fail a job with a task that crashes its workers."""
     records = task.list_crashes()
-    workers = ', '.join(one.worker_id for one in records)
+    workers = ', '.join(crash.worker_id for crash in records)
     name = task.key.format()
     context.state.count('jobs_given_up')
     context.log(
         'job given up',
         job=job.job_id,
         task=name,
-        workers=[one.worker_id for one in records],
-        runs=[one.run for one in records],
-        ages_ms=[one.age_ms for one in records],
-        noted_ms=[one.noted_ms for one in records],
+        workers=[crash.worker_id for crash in records],
+        runs=[crash.run for crash in records],
+        ages_ms=[crash.age_ms for crash in records],
+        noted_ms=[crash.noted_ms for crash in records],
     )
     fail(job, f'workers crashed under {name}: {workers}', context)
 
 
 def fail(job: Job, reason: str, context: Context) -> None:
-    """Show a job as failed, say why in its row, and stop it."""
+    """Set a job to failed with a reason, and stop its runs."""
     if job.state in FINAL_STATES:
         return
     job.reason = reason
--- a/src/tulippin/jobs/_lifecycle.py
+++ b/src/tulippin/jobs/_lifecycle.py
@@ -1,4 +1,8 @@
-"""A job's life: accepted, steps opened in order, and its final state."""
+"""Life cycle of a job, from its stored rows to its final state.
+
+Builds jobs from rows and restores their progress, makes the tasks of a step
+ready once the earlier steps are done, and writes progress records.
+"""
 
 from __future__ import annotations
 
@@ -36,13 +40,14 @@
     parse_task,
 )
 
-_HEX: t.Final = 16
+_HEX_BASE: t.Final = 16
 
 
 def add_rows(rows: t.Iterable[StoredRow], context: Context) -> list[Job]:
-    """Take in rows of the jobs' table; return the jobs that are new.
+    """Apply rows of the jobs table and return the jobs that are new.
 
-    Cancels and failures come last: they may stand before their job.
+    Cancellations and failures are applied last, as their rows may precede the
+    row of their job.
     """
     jobs = context.state.jobs
     added = []
@@ -52,27 +57,27 @@
         if row.value is None:
             continue
         if row.key.endswith(CANCEL_SUFFIX):
-            # Also one that can't be read: its key alone says what it is, and
-            # a cancel that was accepted is for good.
+            # An unreadable row counts too: its key suffices, and an accepted
+            # cancellation is final. Reading it logs what is wrong.
             read_record(row, CancelRecord)
             cancelled.append(row.key.removesuffix(CANCEL_SUFFIX))
             continue
         if row.key.endswith(FAIL_SUFFIX):
             failed.append(row)
             continue
-        job = _take_surely(row, context)
+        job = _try_apply_row(row, context)
         if job is not None:
             added.append(job)
     for job_id in cancelled:
         if job_id in jobs:
             jobs[job_id].is_cancelled = True
     for row in failed:
-        _take_failure(row, context.state)
+        _apply_failure(row, context.state)
     return added
 
 
-def _take_failure(row: StoredRow, state: SchedulerState) -> None:
-    """Note that another unit gave a job up."""
+def _apply_failure(row: StoredRow, state: SchedulerState) -> None:
+    """Record that another unit abandoned a job."""
     job = state.jobs.get(row.key.removesuffix(FAIL_SUFFIX))
     record = read_record(row, FailRecord)
     if job is not None and record is not None:
@@ -80,31 +85,42 @@
         job.reason = record.reason
 
 
-def _take_surely(row: StoredRow, context: Context) -> Job | None:
-    """Take in a job's row; one that raises an error costs no other job."""
+def _try_apply_row(row: StoredRow, context: Context) -> Job | None:
+    """Apply a job's row, and withhold the job if that raises an error.
+
+    Catches any error, so that one bad row doesn't affect other jobs.
+    """
     try:
-        return _take_row(row, context)
+        return _apply_row(row, context)
     except Exception as error:
-        tell_failed_row(error, row, context)
+        report_failed_row(error, row, context)
         job = context.state.jobs.get(row.key.removesuffix(GUEST_SUFFIX))
         if job is not None:
             withhold(job, context, f'its row raised {error!r}')
         return None
 
 
-def tell_failed_row(error: Exception, row: StoredRow, context: Context) -> None:
-    """Tell that a job's row raised an error."""
+def report_failed_row(
+    error: Exception, row: StoredRow, context: Context
+) -> None:
+    """Count and report an error that a job's row raised."""
     context.state.count('rows_failed')
     context.emit(TellFailure('row failed', error, (name_row(row),)))
 
 
-def _take_row(row: StoredRow, context: Context) -> Job | None:
-    """Take in a job, or tasks passed on; return a job if it is new."""
+def _apply_row(row: StoredRow, context: Context) -> Job | None:
+    """Apply the row of a job or of transferred tasks.
+
+    Returns
+    -------
+    Job or None
+        The job, if it is new.
+    """
     if not is_job_id(row.key.removesuffix(GUEST_SUFFIX)):
-        log_unreadable(row, 'its key names no job')
+        log_unreadable(row, 'its key is not a valid job id')
         return None
     if row.key.endswith(GUEST_SUFFIX):
-        return _take_guest(row, context)
+        return _apply_transferred_tasks(row, context)
     jobs = context.state.jobs
     if row.key in jobs:
         return None
@@ -114,18 +130,24 @@
     return job
 
 
-def list_unread(
+def list_unreadable_jobs(
     rows: t.Iterable[StoredRow], state: SchedulerState
 ) -> t.Iterator[str]:
-    """Iterate over the ids of jobs whose rows gave none."""
+    """Yield the ids of jobs whose rows could not be read."""
     for row in rows:
         job_id = row.key.partition('/')[0]
         if row.value is not None and job_id not in state.jobs:
             yield job_id
 
 
-def _take_guest(row: StoredRow, context: Context) -> Job | None:
-    """Take in tasks that other units passed on; return a job if new."""
+def _apply_transferred_tasks(row: StoredRow, context: Context) -> Job | None:
+    """Apply tasks that other units transferred to this one.
+
+    Returns
+    -------
+    Job or None
+        The job, if it is new.
+    """
     state = context.state
     job_id = row.key.removesuffix(GUEST_SUFFIX)
     record = read_record(row, GuestRecord)
@@ -133,7 +155,7 @@
         return None
     job = state.jobs.get(job_id)
     if job is not None and job.request.steps != record.request.steps:
-        log_unreadable(row, 'its job has other steps')
+        log_unreadable(row, 'its steps differ from those of its job')
         return None
     is_new = job is None
     if job is None:
@@ -161,29 +183,32 @@
 
 
 def _count_tasks(job: Job) -> None:
-    """Count the tasks that are to be done, as of a job with none done."""
+    """Set the number of remaining tasks of each step to all its tasks."""
     for occurrence in range(job.request.occurrence_count):
         for number, step in enumerate(job.request.steps):
             job.remaining[occurrence, number] = step.task_count
 
 
 def is_here(job: Job, key: TaskKey) -> bool:
-    """Whether a task is this unit's to run."""
-    came = job.passes.get(key, -1 if job.is_guest else 0)
-    went = job.passed.get(key)
-    return went is None or came > went.pass_number
+    """Whether a task is assigned to this unit.
+
+    The latest transfer counts, whether the task was received or sent.
+    """
+    received_number = job.passes.get(key, -1 if job.is_guest else 0)
+    sent = job.passed.get(key)
+    return sent is None or received_number > sent.pass_number
 
 
 def get_first_task(job: Job) -> TaskKey:
-    """Return the task whose unit tells whether the job has begun."""
+    """Return the key of the task whose unit counts the job as waiting."""
     return TaskKey(job.job_id, 0, 0, 0)
 
 
 def is_waiting(job: Job) -> bool:
-    """Whether a job counts here as one with no task begun.
+    """Whether this unit counts a job as one without a started task.
 
-    Its tasks may be in several units. The one that has the first of them
-    counts it, so that no job is left out or counted twice.
+    The tasks of a job may be spread over several units. The unit that holds
+    the first task counts the job, so that each job is counted exactly once.
     """
     is_pending = job.state is JobState.PENDING and not job.is_past_unknown
     if job.is_cancelled or not is_pending:
@@ -197,11 +222,12 @@
 
 
 def _get_arrival_ms(record: JobRecord, state: SchedulerState) -> int:
-    """Return when a job was accepted, by this instance's clock.
+    """Return when a job was accepted, in this instance's clock.
 
-    One that was loaded after a takeover has waited already. Ranked as if it
-    had just come, it would go before jobs that can still be in time. Clocks
-    differ, so none counts as still to come, or as older than any is kept.
+    A job that is loaded after a takeover has waited already. Ranked as if it
+    had just arrived, it would precede jobs that can still meet their target.
+    As clocks differ between instances, the age is limited to the range from
+    0 to the retention time.
     """
     if not record.accepted_ms:
         return state.now_ms
@@ -229,7 +255,10 @@
 
 
 def restore(job: Job, row: StoredRow, context: Context) -> None:
-    """Apply what is durable of a job's progress."""
+    """Apply the stored progress of a job.
+
+    A job with unreadable progress is withheld.
+    """
     if row.value is None:
         return
     job.progress_version = row.version
@@ -244,12 +273,12 @@
     if record.state in FINAL_STATES:
         job.finished_ms = context.state.now_ms
         if record.state is JobState.FAILED:
-            # The last owner may have been lost before it told other units.
+            # The last owner may have crashed before it notified other units.
             _tell_failed(job, context)
         return
     for name, bits in record.done.items():
         occurrence, _, number = name.partition('.')
-        _restore_done(job, int(occurrence), int(number), int(bits, _HEX))
+        _restore_done(job, int(occurrence), int(number), int(bits, _HEX_BASE))
     for name, runs in record.failures.items():
         task = get_task(job, parse_task(f'{job.job_id}.{name}'))
         task.failed_runs = set(runs)
@@ -264,23 +293,23 @@
         task = get_task(job, parse_task(f'{job.job_id}.{name}'))
         task.open_start = started
     job.doubts = record.doubts
-    _restore_places(job, record)
+    _restore_assigned_workers(job, record)
     _restore_begun(job, record)
 
 
 def _restore_begun(job: Job, record: ProgressRecord) -> None:
-    """Note which long-running tasks have run, if that is told."""
+    """Restore which long-running tasks have run, if that is recorded."""
     job.knows_begun = record.begun is not None
     for name, bits in (record.begun or {}).items():
         occurrence, _, number = name.partition('.')
         for index in range(job.request.steps[int(number)].task_count):
-            if int(bits, _HEX) >> index & 1:
+            if int(bits, _HEX_BASE) >> index & 1:
                 key = TaskKey(job.job_id, int(occurrence), int(number), index)
                 get_task(job, key).has_run = True
 
 
-def _restore_places(job: Job, record: ProgressRecord) -> None:
-    """Note where the long-running tasks of a job may run, if that is told."""
+def _restore_assigned_workers(job: Job, record: ProgressRecord) -> None:
+    """Restore the workers where long-running tasks may run, if recorded."""
     job.knows_places = record.places is not None
     for name, worker_ids in (record.places or {}).items():
         task = get_task(job, parse_task(f'{job.job_id}.{name}'))
@@ -290,14 +319,14 @@
 def _restore_crashes(
     task: Task, crashes: t.Iterable[CrashRecord], state: SchedulerState
 ) -> None:
-    """Count the crashes that an earlier owner, or unit, told of."""
+    """Restore the crashes that an earlier owner or another unit recorded."""
     for crash in crashes:
         task.crashes[crash.worker_id] = crash
         state.suspects.add(task.key)
 
 
 def _read_progress(job: Job, row: StoredRow) -> ProgressRecord | None:
-    """Return a job's progress as a whole, or nothing of it."""
+    """Return a job's progress, or None if any part of it is invalid."""
     record = read_record(row, ProgressRecord)
     if record is None:
         return None
@@ -309,10 +338,10 @@
 
 
 def withhold(job: Job, context: Context, why: str) -> None:
-    """Start nothing of a job, as what ran or is done is not known.
+    """Stop starting tasks of a job whose earlier progress is unknown.
 
-    It may be over, or have tasks that are done or run in another unit.
-    What a worker still runs of it goes on, and it can be cancelled.
+    The job may be finished, or have tasks that are done or run in another
+    unit. Its runs on workers go on, and it can be cancelled.
     """
     job.is_past_unknown = True
     job.has_begun = True
@@ -328,7 +357,7 @@
 
 
 def get_task(job: Job, key: TaskKey) -> Task:
-    """Return a task of a job, made at its first use."""
+    """Return a task of a job; create it if it doesn't exist yet."""
     task = job.tasks.get(key)
     if task is None:
         task = job.tasks[key] = Task(key)
@@ -340,11 +369,11 @@
     return f'{key.occurrence}.{key.step}.{key.index}'
 
 
-def _iter_own(job: Job) -> t.Iterator[tuple[TaskKey, Task]]:
-    """Iterate over the tasks that a job has.
+def _iter_valid_tasks(job: Job) -> t.Iterator[tuple[TaskKey, Task]]:
+    """Yield the tasks that belong to the steps of a job.
 
-    Workers may tell runs of others. A record that named one would be refused
-    as a whole, and nothing of the job would be started again.
+    Workers may report runs of tasks that don't exist. A progress record with
+    such a task would be rejected as a whole, and the job withheld.
     """
     for key, task in job.tasks.items():
         if has_task(job.request, key):
@@ -352,7 +381,7 @@
 
 
 def make_progress(job: Job) -> ProgressRecord:
-    """Return what is to be kept of a job as it is now."""
+    """Return the progress record for the present state of a job."""
     if job.state in FINAL_STATES:
         return ProgressRecord(job.state, reason=job.reason)
     done: dict[str, int] = {}
@@ -360,7 +389,7 @@
     failures: dict[str, list[int]] = {}
     avoided: dict[str, list[str]] = {}
     crashes: dict[str, tuple[CrashRecord, ...]] = {}
-    for key, task in _iter_own(job):
+    for key, task in _iter_valid_tasks(job):
         if task.crashes and not task.is_done:
             crashes[get_name(key)] = task.list_crashes()
         name = f'{key.occurrence}.{key.step}'
@@ -376,7 +405,7 @@
             avoided[name] = sorted(task.avoided)
     return ProgressRecord(
         job.state,
-        _write_bits(done),
+        _format_bits(done),
         failures,
         {
             get_name(key): attrs.astuple(passed)
@@ -384,24 +413,25 @@
         },
         avoided,
         crashes,
-        _list_started(job),
-        places=_list_places(job),
-        begun=_write_bits(begun) if has_lasting(job) else None,
+        _list_recent_starts(job),
+        places=_list_assigned_workers(job),
+        begun=_format_bits(begun) if has_long_running(job) else None,
         doubts=job.doubts,
     )
 
 
-def _write_bits(tasks: dict[str, int]) -> dict[str, str]:
+def _format_bits(tasks: dict[str, int]) -> dict[str, str]:
     return {name: f'{bits:x}' for name, bits in tasks.items()}
 
 
-def _list_started(job: Job) -> dict[str, tuple[int, str]]:
-    """Return the newest run of each task that has just begun, and its worker.
+def _list_recent_starts(job: Job) -> dict[str, tuple[int, str]]:
+    """Return the latest run and its worker for each recently started task.
 
-    What has run for long is not held to have crashed its worker.
+    Runs that have passed their probation are left out, as they aren't
+    suspected of crashing their worker.
     """
     started = {}
-    for key, task in _iter_own(job):
+    for key, task in _iter_valid_tasks(job):
         if task.attempts:
             run = max(task.attempts)
             if not task.attempts[run].is_proved:
@@ -411,37 +441,42 @@
     return started
 
 
-def has_lasting(job: Job) -> bool:
-    """Whether some of a job's tasks are long-running."""
+def has_long_running(job: Job) -> bool:
+    """Whether any step of a job is long-running."""
     return any(step.long_running for step in job.request.steps)
 
 
-def _list_places(job: Job) -> dict[str, tuple[str, ...]] | None:
-    """Return the workers where each long-running task may run, if known."""
-    if not (job.knows_places and has_lasting(job)):
+def _list_assigned_workers(job: Job) -> dict[str, tuple[str, ...]] | None:
+    """Return the workers where each long-running task may run, by its name.
+
+    Returns None if that is unknown or the job has no long-running tasks.
+    """
+    if not (job.knows_places and has_long_running(job)):
         return None
-    places = {}
-    for key, task in _iter_own(job):
+    assigned_workers = {}
+    for key, task in _iter_valid_tasks(job):
         if not job.request.steps[key.step].long_running:
             continue
-        worker_ids = {one.worker_id for one in task.attempts.values()}
+        worker_ids = {run.worker_id for run in task.attempts.values()}
         worker_ids |= task.unseen_on | task.spares
         if worker_ids:
-            places[get_name(key)] = tuple(sorted(worker_ids))
-    return places
+            assigned_workers[get_name(key)] = tuple(sorted(worker_ids))
+    return assigned_workers
 
 
 def is_place_durable(job: Job, key: TaskKey, worker_id: str) -> bool:
-    """Whether the next owner would look for a long-running task there.
+    """Whether the stored progress names a worker for a long-running task.
 
-    It may come upon what is being written, too.
+    The next owner then looks for the task there. It may read the record of
+    the commit in progress too, so that one must also name the worker.
     """
-    return _names_place(job.durable, key, worker_id) and (
-        job.committing is None or _names_place(job.committing, key, worker_id)
+    return _is_worker_recorded(job.durable, key, worker_id) and (
+        job.committing is None
+        or _is_worker_recorded(job.committing, key, worker_id)
     )
 
 
-def _names_place(
+def _is_worker_recorded(
     record: ProgressRecord | None, key: TaskKey, worker_id: str
 ) -> bool:
     if record is None or record.places is None:
@@ -450,10 +485,10 @@
 
 
 def mark_dirty(job: Job, state: SchedulerState) -> None:
-    """Have a job's progress made durable with the next commit.
+    """Include a job's progress in the next commit.
 
-    What is known of a job with an unknown past is less than what is kept of
-    it, but for its end.
+    A job whose past is unknown is left out until it is in a final state, as
+    the stored progress says more than the state in memory.
     """
     if job.is_past_unknown and job.state not in FINAL_STATES:
         return
@@ -463,44 +498,46 @@
 
 
 def open_steps(job: Job, state: SchedulerState) -> None:
-    """Make ready the tasks of each step whose turn has come."""
+    """Make the tasks of all steps ready whose dependencies are done."""
     if job.state in FINAL_STATES or job.is_cancelled or job.is_past_unknown:
         return
-    _open_passed(job, state)
+    _open_transferred(job, state)
     if job.is_guest:
         return
     for occurrence in range(job.request.occurrence_count):
-        if not _is_due(job, occurrence, state):
+        if not _is_occurrence_due(job, occurrence, state):
             return
         for number in _iter_openable(job, occurrence):
             job.opened.add((occurrence, number))
             _open_step(job, occurrence, number, state)
 
 
-def _is_startable(job: Job, task: Task) -> bool:
-    """Whether a task is ours, not done, and runs nowhere."""
+def _needs_start(job: Job, task: Task) -> bool:
+    """Whether a task belongs to this unit, isn't done and has no runs."""
     is_idle = not task.is_done and not task.attempts
     return is_idle and is_here(job, task.key)
 
 
-def _open_passed(job: Job, state: SchedulerState) -> None:
-    """Make ready the tasks that other units passed on."""
+def _open_transferred(job: Job, state: SchedulerState) -> None:
+    """Make the tasks ready that other units transferred to this one."""
     for key in job.passes:
         task = get_task(job, key)
-        if _is_startable(job, task):
+        if _needs_start(job, task):
             _ready.add(task, job.request.steps[key.step], state)
 
 
 def _iter_openable(job: Job, occurrence: int) -> t.Iterator[int]:
-    """Iterate over the steps whose earlier ones are all done."""
+    """Yield the numbers of unopened steps whose dependencies are done."""
     for number, step in enumerate(job.request.steps):
         if (occurrence, number) in job.opened:
             continue
-        if not any(job.remaining[occurrence, one] for one in step.after):
+        if not any(job.remaining[occurrence, other] for other in step.after):
             yield number
 
 
-def _is_due(job: Job, occurrence: int, state: SchedulerState) -> bool:
+def _is_occurrence_due(
+    job: Job, occurrence: int, state: SchedulerState
+) -> bool:
     schedule = job.request.schedule
     if not schedule.count:
         return True
@@ -516,14 +553,14 @@
     for index in range(step.task_count):
         key = TaskKey(job.job_id, occurrence, number, index)
         task = get_task(job, key)
-        if _is_startable(job, task):
+        if _needs_start(job, task):
             _ready.add(task, step, state)
             opened += 1
     _demand.note_step(job, step, opened, state)
 
 
 def mark_begun(job: Job, state: SchedulerState) -> None:
-    """Note that a task of the job has been started."""
+    """Set a job to running once its first task is started."""
     if not job.has_begun:
         job.has_begun = True
         job.state = JobState.RUNNING
@@ -531,23 +568,23 @@
 
 
 def note_done(job: Job, task: Task, context: Context) -> None:
-    """Count a task that ended done; open what follows it."""
+    """Mark a task as done, and open further steps or finish its job."""
     if task.is_done or job.state in FINAL_STATES:
         return
     state = context.state
     task.is_done = True
     _ready.remove(task.key, job.request.steps[task.key.step], state)
-    place = (task.key.occurrence, task.key.step)
-    job.remaining[place] -= 1
+    step_key = (task.key.occurrence, task.key.step)
+    job.remaining[step_key] -= 1
     mark_dirty(job, state)
     if not any(job.remaining.values()):
         finish(job, JobState.COMPLETED, context)
-    elif not job.remaining[place]:
+    elif not job.remaining[step_key]:
         open_steps(job, state)
 
 
 def finish(job: Job, final: JobState, context: Context) -> None:
-    """Give a job its final state; the caller stops what still runs."""
+    """Set the final state of a job; the caller stops its runs."""
     state = context.state
     job.state = final
     job.finished_ms = state.now_ms
@@ -568,6 +605,6 @@
 
 
 def _tell_failed(job: Job, context: Context) -> None:
-    """Tell other units of a failure, if they may run tasks of the job."""
+    """Notify other units of a failure if they may run tasks of the job."""
     if job.is_guest or job.passed:
         context.emit(FailJob(job.job_id, job.reason))
--- a/src/tulippin/jobs/_ownership.py
+++ b/src/tulippin/jobs/_ownership.py
@@ -1,4 +1,9 @@
-"""Who owns the unit: watching the lease, taking it, keeping it."""
+"""Ownership of the unit: watching, taking, renewing and releasing its lease.
+
+The scheduler core calls ``tick`` at each tick; the registered handlers process
+the answers of the store. An instance stands by while another one owns the
+unit, and takes it over when the lease lapses or is released.
+"""
 
 from __future__ import annotations
 
@@ -28,56 +33,57 @@
 from tulippin.jobs.swings import SwingModel
 from tulippin.types import Resources
 
-# Spreads the takers of a lapsed lease, so that most see the first one's
-# success before their own try; a transaction takes some 5 ms.
-_SPREAD_MS: t.Final = 200
-# Where the store is slow they are spread over so many of its answers: what
-# those ask for that come second is in vain, and keeps the first one's writes
-# waiting.
-_SPREAD_ANSWERS: t.Final = 4
-_SLOWEST_ANSWER_MS: t.Final = 200
-# What is added to a wait for each unit that an instance has, or is about
-# to have, on one core: the largest instances with the fewest units go first.
-_BURDEN_MS: t.Final = 200
-_LEAST_SHARE: t.Final = 0.1
-# An instance with more units on each core gives them up one by one: others
-# take a unit sooner than it would itself. Half a core bears one unit.
-_MOST_BURDEN: t.Final = 2.5
-_SPARE_EVERY_MS: t.Final = 3000
-# Work that is prolonged later than this after the last renewal may outlast
-# a successor's wait: 2 s and 6.5 s, less a lease of 4.5 s and its slack.
-_UNCONFIRMED_LIMIT_MS: t.Final = 3500
-_TURNS: t.Final = 7
-_MOST_DOUBLINGS: t.Final = 6
-# A unit given up in a planned way is taken up this many times sooner.
-_RELEASED_PART: t.Final = 4
-# A gap between two events that means that the process stood still: the
-# tick comes twenty times in it.
-PAUSE_LIMIT_MS: t.Final = 1000
-# Between two tries to give a unit up.
-_RELEASE_PAUSE_MS: t.Final = 300
-_STOPS: t.Final = 'the instance stops'
-
-_OWNING: t.Final = frozenset((Phase.LOADING, Phase.ACTIVE))
-# What a stop waits for: a unit taken after it would be nobody's to release.
-_UNDER_WAY: t.Final = frozenset((Phase.TAKING, Phase.RELEASING))
-# Rows that come during a try are what the next one goes by.
-_WATCHING: t.Final = frozenset((Phase.STANDING_BY, Phase.TAKING))
+# Staggers the instances that take over a lapsed lease, so that most of them
+# see the first success before they try; a transaction takes about 5 ms.
+_TAKEOVER_JITTER_MS: t.Final = 200
+# With a slow store the jitter spans this many answer times: transactions of
+# instances that come second fail, and delay the writes of the first one.
+_TAKEOVER_JITTER_ANSWERS: t.Final = 4
+_MAX_ANSWER_MS: t.Final = 200
+# Added to the delay for each unit per core, so that the largest instances
+# with the fewest units go first.
+_DELAY_PER_UNIT_PER_CORE_MS: t.Final = 200
+_MIN_PROCESSOR_SHARE: t.Final = 0.1
+# Above this load an instance releases its units one by one; less loaded
+# instances have a shorter takeover delay. Half a core can carry one unit.
+_MAX_UNITS_PER_CORE: t.Final = 2.5
+_SHED_INTERVAL_MS: t.Final = 3000
+# Worker leases that are extended later than this after the last renewal may
+# outlast the wait of the next owner: 2 s and 6.5 s, less a lease of 4.5 s and
+# its slack.
+_MAX_UNCONFIRMED_MS: t.Final = 3500
+_SHED_TURN_COUNT: t.Final = 7
+_MAX_BACKOFF_DOUBLINGS: t.Final = 6
+# The takeover delay of a released unit is this many times shorter.
+_RELEASED_DELAY_DIVISOR: t.Final = 4
+# A longer gap between two events means that the process was suspended: 20
+# ticks fall into this time.
+_MAX_EVENT_GAP_MS: t.Final = 1000
+# Interval between two attempts to release the unit.
+_RELEASE_RETRY_MS: t.Final = 300
+_STOP_REASON: t.Final = 'the instance stops'
+
+_OWNING_PHASES: t.Final = frozenset((Phase.LOADING, Phase.ACTIVE))
+# A stop waits for these to end: a unit that is taken after the stop would
+# never be released.
+_TRANSITION_PHASES: t.Final = frozenset((Phase.TAKING, Phase.RELEASING))
+# Rows that arrive during a takeover attempt are the input of the next one.
+_WATCHING_PHASES: t.Final = frozenset((Phase.STANDING_BY, Phase.TAKING))
 
 
 @handle.register
-def _see_lease(event: LeaseSeen, context: Context) -> None:
+def _handle_lease_seen(event: LeaseSeen, context: Context) -> None:
     ownership = context.state.ownership
-    if ownership.phase not in _WATCHING:
+    if ownership.phase not in _WATCHING_PHASES:
         return
     if event.lease_version < ownership.lease_version:
-        # An older reading that came late.
+        # A stale read that arrived late.
         return
     is_new = (event.lease_version, event.epoch_version) != (
         ownership.lease_version,
         ownership.epoch_version,
     )
-    # Each taking counts its renewals anew.
+    # Each epoch counts its renewals from zero.
     is_same_epoch = event.epoch_version == ownership.epoch_version
     is_outdated = is_same_epoch and _is_outdated(event.lease, ownership.lease)
     if not is_outdated:
@@ -88,14 +94,15 @@
     if (is_new and not is_outdated) or ownership.changed_ms < 0:
         ownership.changed_ms = event.at_ms
     if ownership.phase is Phase.STANDING_BY:
-        _take_if_free(context)
+        _take_over_if_free(context)
 
 
 def _is_outdated(lease: LeaseRecord | None, known: LeaseRecord | None) -> bool:
-    """Whether a renewal is one that the store carried out late.
+    """Whether the lease is a renewal that the store applied late.
 
-    It is no sign of life: a store may do a write up to 6 s after its owner
-    has gone, and the unit would have nobody for so long.
+    Such a renewal doesn't show that the owner is alive: a store may apply a
+    write up to 6 s after the owner has gone, and the unit would stay without
+    an owner meanwhile.
     """
     if lease is None or known is None or lease.released != known.released:
         return False
@@ -104,10 +111,10 @@
 
 
 def may_be_free(state: SchedulerState, now_ms: int) -> bool:
-    """Whether time alone may make the instance take its unit.
+    """Whether a tick may make the instance take over its unit.
 
-    Where the owner's lease is younger than any taker's wait, a tick would
-    change nothing.
+    While the owner's lease is younger than the shortest takeover delay, a
+    tick changes nothing and can be skipped.
     """
     ownership = state.ownership
     lease = ownership.lease
@@ -120,8 +127,8 @@
     return now_ms - ownership.changed_ms >= state.config.lease_ms
 
 
-def _take_if_free(context: Context) -> None:
-    """Take the unit if nobody has it, or its holder surely is gone."""
+def _take_over_if_free(context: Context) -> None:
+    """Take over the unit if it has no owner or its owner's lease lapsed."""
     state = context.state
     ownership = state.ownership
     lease = ownership.lease
@@ -129,72 +136,80 @@
         return
     silent_ms = state.now_ms - ownership.changed_ms
     if lease is None and ownership.lease_version:
-        # Whoever has the unit writes its next renewal over it.
+        # A live owner overwrites the row with its next renewal.
         why = 'lease unreadable'
         wait_ms = state.config.lease_ms + _get_delay_ms(state)
     elif lease is None or lease.released:
         why = 'released' if lease else 'never owned'
-        wait_ms = _get_delay_ms(state, _RELEASED_PART)
+        wait_ms = _get_delay_ms(state, _RELEASED_DELAY_DIVISOR)
     elif lease.instance_id == state.config.instance_id:
-        # One process runs at a time, so our own earlier life is over.
-        why = 'earlier life'
+        # An instance runs one process at a time, so the earlier process run
+        # that holds the lease has ended.
+        why = 'earlier process run'
         wait_ms = 0
     else:
         why = 'lapsed'
         wait_ms = state.config.lease_ms + _get_delay_ms(state)
     if silent_ms < wait_ms + ownership.wait_extra_ms:
         return
-    _take(context, why, silent_ms)
+    _begin_takeover(context, why, silent_ms)
 
 
-def _get_delay_ms(state: SchedulerState, part: int = 1) -> int:
-    """Return how long the instance leaves a free unit to others."""
+def _get_delay_ms(state: SchedulerState, divisor: int = 1) -> int:
+    """Return how long the instance waits before it takes a free unit."""
     config = state.config
     name = f'{config.instance_id}/{config.unit.number}'
-    place = zlib.crc32(name.encode()) % _SPREAD_MS / _SPREAD_MS
+    jitter_share = (
+        zlib.crc32(name.encode()) % _TAKEOVER_JITTER_MS / _TAKEOVER_JITTER_MS
+    )
     lease = state.ownership.lease
-    answer_ms = min(lease.answer_ms if lease else 0, _SLOWEST_ANSWER_MS)
-    spread_ms = max(_SPREAD_MS / part, _SPREAD_ANSWERS * answer_ms)
-    burden_ms = _BURDEN_MS * (_get_burden(state) - 1) / part
-    return max(0, int(place * spread_ms + burden_ms))
+    answer_ms = min(lease.answer_ms if lease else 0, _MAX_ANSWER_MS)
+    jitter_ms = max(
+        _TAKEOVER_JITTER_MS / divisor, _TAKEOVER_JITTER_ANSWERS * answer_ms
+    )
+    load_delay_ms = (
+        _DELAY_PER_UNIT_PER_CORE_MS * (_get_units_per_core(state) - 1) / divisor
+    )
+    return max(0, int(jitter_share * jitter_ms + load_delay_ms))
 
 
-def _get_burden(state: SchedulerState) -> float:
-    """Return the units on each core, with this one."""
-    share = max(state.config.processor_share, _LEAST_SHARE)
+def _get_units_per_core(state: SchedulerState) -> float:
+    """Return the units per core of the instance, including this unit."""
+    share = max(state.config.processor_share, _MIN_PROCESSOR_SHARE)
     return (1 + state.other_units) / share
 
 
-def _take(context: Context, why: str, silent_ms: int) -> None:
+def _begin_takeover(context: Context, why: str, silent_ms: int) -> None:
     state = context.state
     ownership = state.ownership
-    last = ownership.epoch.epoch if ownership.epoch else 0
+    last_epoch = ownership.epoch.epoch if ownership.epoch else 0
     ownership.phase = Phase.TAKING
     ownership.tried_version = ownership.lease_version
-    context.log('take unit', why=why, silent_ms=silent_ms, epoch=last + 1)
+    context.log('take unit', why=why, silent_ms=silent_ms, epoch=last_epoch + 1)
     context.emit(
         TakeUnit(
             _make_lease(state, is_loaded=False),
             ownership.lease_version,
-            EpochRecord(last + 1, state.config.session_id),
+            EpochRecord(last_epoch + 1, state.config.session_id),
             ownership.epoch_version,
         )
     )
 
 
 @handle.register
-def _end_taking(event: UnitTaken, context: Context) -> None:
+def _handle_unit_taken(event: UnitTaken, context: Context) -> None:
     state = context.state
     ownership = state.ownership
     if not event.version:
         ownership.phase = Phase.LEFT if state.is_stopping else Phase.STANDING_BY
         if ownership.lease_version == ownership.tried_version:
-            # Another was first: its rows must be seen before the next try.
-            # If the store was away, no row may ever change, so these count
-            # anew: a unit whose takers all failed would be nobody's.
+            # Another instance was first: its rows must be read before the
+            # next attempt. If the outcome is unknown, the rows may never
+            # change, so the wait starts again with the known ones; a unit
+            # whose takeovers all failed would never be taken otherwise.
             ownership.changed_ms = event.at_ms if event.is_unsure else -1
         context.log(
-            'unit not taken', epoch=event.epoch, is_unsure=event.is_unsure
+            'unit takeover failed', epoch=event.epoch, is_unsure=event.is_unsure
         )
         return
     ownership.phase = Phase.LOADING
@@ -207,20 +222,20 @@
     ownership.is_renewing = False
     context.log('unit taken', epoch=event.epoch, version=event.version)
     if state.is_stopping:
-        ownership.release_why = _STOPS
+        ownership.release_why = _STOP_REASON
         _release(context)
         return
     context.emit(LoadUnit())
 
 
 @handle.register
-def _renewed(event: LeaseRenewed, context: Context) -> None:
+def _handle_lease_renewed(event: LeaseRenewed, context: Context) -> None:
     ownership = context.state.ownership
     if event.epoch_version != ownership.epoch_version:
-        # Of an earlier ownership.
+        # Answers a renewal of an earlier epoch.
         return
     ownership.is_renewing = False
-    if ownership.phase not in _OWNING:
+    if ownership.phase not in _OWNING_PHASES:
         return
     if event.is_fenced:
         step_down(context, 'the lease row has another owner')
@@ -228,8 +243,8 @@
     if event.is_done:
         ownership.renewed_ms = max(ownership.renewed_ms, event.sent_ms)
         ownership.lease_version = event.version
-        # An answer that was on its way while the process stood still tells
-        # of the time before.
+        # A renewal that was sent before the process was suspended says
+        # nothing about the time since.
         if ownership.must_confirm and event.sent_ms >= ownership.paused_ms:
             context.log('ownership confirmed', epoch=context.fencing_token)
             ownership.must_confirm = False
@@ -238,17 +253,17 @@
 
 
 def step_down(context: Context, reason: str) -> None:
-    """Give up the unit: another instance owns it."""
+    """End the ownership at once, as another instance owns the unit."""
     context.log('step down', reason=reason, epoch=context.fencing_token)
     _end_ownership(context)
 
 
 def _end_ownership(context: Context) -> None:
-    """Stand by for the unit again, unless the instance stops."""
+    """Clear the unit and stand by for it again, unless stopping."""
     state = context.state
     clear_unit(state)
     state.ownership = Ownership(changed_ms=state.now_ms)
-    # Not ours again before others have had their turn.
+    # Leaves the unit to other instances first.
     state.ownership.wait_extra_ms = state.config.lease_ms
     if state.is_stopping:
         state.ownership.phase = Phase.LEFT
@@ -256,7 +271,7 @@
 
 
 def clear_unit(state: SchedulerState) -> None:
-    """Forget all that only the owner holds."""
+    """Clear the state that only the owner of the unit holds."""
     _clear_crashes(state)
     state.jobs.clear()
     state.workers.clear()
@@ -303,56 +318,66 @@
 
 
 def note_pause(context: Context, gap_ms: int) -> None:
-    """After standing still, order nothing until the store confirms."""
+    """Require a confirmed renewal after the process was suspended.
+
+    Parameters
+    ----------
+    context : Context
+        The state and its effects.
+    gap_ms : int
+        Time between the last two events.
+    """
     ownership = context.state.ownership
-    if ownership.phase in _OWNING and gap_ms > PAUSE_LIMIT_MS:
+    if ownership.phase in _OWNING_PHASES and gap_ms > _MAX_EVENT_GAP_MS:
         ownership.must_confirm = True
         ownership.paused_ms = context.state.now_ms + gap_ms
-        context.log('paused', gap_ms=gap_ms, epoch=context.fencing_token)
+        context.log(
+            'process suspended', gap_ms=gap_ms, epoch=context.fencing_token
+        )
 
 
 def is_unconfirmed(state: SchedulerState) -> bool:
-    """Whether another instance may have taken the unit by now.
+    """Whether another instance may have taken over the unit.
 
-    The store tells nothing while it is away, but each worker that a
-    successor has spoken to does: all are asked, also those where nothing
-    runs. An owner that asked only where its tasks ran went on prolonging
-    what its successor could not reach, and took for lapsed.
+    While the store is unavailable, only the workers that a successor has
+    reached report it, so all workers are synchronized, including idle ones.
+    An owner that synchronizes only workers with tasks goes on extending
+    leases on workers that its successor can't reach and takes for lapsed.
     """
     return state.now_ms - state.ownership.renewed_ms > state.config.lease_ms
 
 
 def may_prolong(state: SchedulerState) -> bool:
-    """Whether work may be kept going, or started, under our ownership.
+    """Whether runs may be started, and worker leases extended.
 
-    A successor takes what a silent worker runs for lapsed 6.5 s after its
-    taking, which is 2 s or more after our last renewal. An owner that the
-    store does not confirm goes on, as the store may be away for all, while
-    it reaches most of its workers: a successor reaches one of them, and is
-    told of by it.
+    A successor treats the runs of a silent worker as lapsed 6.5 s after the
+    takeover, which is 2 s or more after this owner's last renewal. An owner
+    whose renewals aren't confirmed goes on while it reaches more than half of
+    its workers, as the store may be unavailable to all instances: a successor
+    reaches at least one of these workers, which then reports the new epoch.
     """
-    if state.now_ms - state.ownership.renewed_ms <= _UNCONFIRMED_LIMIT_MS:
+    if state.now_ms - state.ownership.renewed_ms <= _MAX_UNCONFIRMED_MS:
         return True
     rostered = [
-        one
-        for one in state.workers.values()
-        if one.is_rostered and not one.is_over
+        worker
+        for worker in state.workers.values()
+        if worker.is_rostered and not worker.is_over
     ]
-    reached = sum(not one.failed_count for one in rostered)
-    return 2 * reached > len(rostered)
+    reached_count = sum(not worker.failed_count for worker in rostered)
+    return 2 * reached_count > len(rostered)
 
 
 def tick(context: Context) -> None:
-    """Take a lapsed unit; renew the lease of an owned one."""
+    """Take over the unit if it is free, or renew the lease if owned."""
     state = context.state
     ownership = state.ownership
     if ownership.phase is Phase.STANDING_BY:
-        _take_if_free(context)
+        _take_over_if_free(context)
         return
-    if _is_spared(state):
+    if _should_shed_unit(state):
         state.spared_count += 1
         ownership.release_why = 'too many units here'
-    if ownership.phase not in _OWNING or ownership.is_renewing:
+    if ownership.phase not in _OWNING_PHASES or ownership.is_renewing:
         return
     renew_at_ms = ownership.renewed_ms + state.config.renew_every_ms
     if state.now_ms >= renew_at_ms or _is_release_due(state):
@@ -368,31 +393,38 @@
     context.emit(RenewLease(lease, ownership.epoch_version))
 
 
-def _is_spared(state: SchedulerState) -> bool:
-    """Whether the unit is better off with another instance."""
+def _should_shed_unit(state: SchedulerState) -> bool:
+    """Whether an overloaded instance should release the unit to another."""
     ownership = state.ownership
     if ownership.phase is not Phase.ACTIVE or not state.other_units:
         return False
     if ownership.release_why:
         return False
-    if _get_burden(state) <= _MOST_BURDEN or ownership.must_confirm:
+    if (
+        _get_units_per_core(state) <= _MAX_UNITS_PER_CORE
+        or ownership.must_confirm
+    ):
         return False
-    # One at a time, by number; and ever less often, as it does not help
-    # where all instances have too many.
-    turn_ms = _SPARE_EVERY_MS * (1 + state.config.unit.number % _TURNS)
-    turn_ms <<= min(state.spared_count, _MOST_DOUBLINGS)
-    return state.now_ms - ownership.taken_ms > turn_ms
+    # Staggered by unit number, so that units are released one at a time, and
+    # with backoff, as a release doesn't help if all instances are overloaded.
+    delay_ms = _SHED_INTERVAL_MS * (
+        1 + state.config.unit.number % _SHED_TURN_COUNT
+    )
+    delay_ms <<= min(state.spared_count, _MAX_BACKOFF_DOUBLINGS)
+    return state.now_ms - ownership.taken_ms > delay_ms
 
 
 def _is_release_due(state: SchedulerState) -> bool:
-    """Whether the unit is to be given up, and a try may be made now.
+    """Whether a release is wanted and may be attempted now.
 
-    Each try follows a renewal that was answered: a store that is silent would
-    leave it open for seconds whether the unit is ours, and the unit without
-    a decision meanwhile.
+    Each attempt follows an answered renewal. With an unresponsive store, the
+    release would stay in doubt for seconds, and no decisions are made for the
+    unit meanwhile.
     """
     ownership = state.ownership
-    is_wanted = bool(ownership.release_why) and ownership.phase in _OWNING
+    is_wanted = (
+        bool(ownership.release_why) and ownership.phase in _OWNING_PHASES
+    )
     return is_wanted and state.now_ms >= ownership.release_after_ms
 
 
@@ -400,8 +432,8 @@
     state = context.state
     ownership = state.ownership
     was_loaded = ownership.phase is Phase.ACTIVE
-    # One that took in nothing has nothing to write over what was kept.
-    is_learned = was_loaded and not state.is_without_advice
+    # Without restored models there is nothing newer than the stored ones.
+    has_models = was_loaded and not state.is_without_advice
     unused_ms = state.now_ms - ownership.taken_ms
     ownership.released_from = ownership.phase
     ownership.phase = Phase.RELEASING
@@ -413,8 +445,8 @@
     context.emit(
         ReleaseLease(
             _make_lease(state, is_loaded=was_loaded, released=True),
-            # What is not loaded must not be written over.
-            _memory.make_record(state) if is_learned else None,
+            # Rows that were not loaded must not be overwritten.
+            _memory.make_record(state) if has_models else None,
             _unseen.make_account(context) if was_loaded else None,
             state.ownership.epoch,
             state.ownership.epoch_version,
@@ -425,7 +457,7 @@
 
 
 def is_loaded(state: SchedulerState) -> bool:
-    """Whether all that is durable of the unit is known, and followed."""
+    """Whether the unit's durable state is loaded and its feed is followed."""
     ownership = state.ownership
     if ownership.phase is Phase.RELEASING:
         return ownership.released_from is Phase.ACTIVE
@@ -436,25 +468,26 @@
     state: SchedulerState, *, is_loaded: bool, released: bool = False
 ) -> LeaseRecord:
     if is_loaded:
-        told = (count_waiting(state), _rooms.measure(state), False)
+        published = (count_waiting(state), _rooms.measure(state), False)
     else:
-        told = _get_last_told(state.ownership)
+        published = _get_last_published(state.ownership)
     return LeaseRecord(
         state.config.session_id,
         state.config.instance_id,
         state.ownership.renewal_count,
         released,
-        *told,
+        *published,
     )
 
 
-def _get_last_told(
+def _get_last_published(
     ownership: Ownership,
 ) -> tuple[dict[str, int], UnitRoom, bool]:
-    """Return what a lease tells of a unit that is still to be loaded.
+    """Return the lease fields to publish for a unit that isn't loaded yet.
 
-    Until then the last owner's count of jobs is the newest there is. Of
-    its room all stands but the places: nothing is started there yet.
+    The last owner's count of waiting jobs is the most recent one. Its
+    capacity is kept except for the fit counts, as nothing can be started
+    before the unit is loaded.
     """
     if ownership.lease is None:
         return {}, UnitRoom(), True
@@ -468,7 +501,7 @@
 
 
 def count_waiting(state: SchedulerState) -> dict[str, int]:
-    """Return how many jobs of each queue have no task begun."""
+    """Return the number of jobs without a started task, by queue name."""
     waiting: dict[str, int] = {}
     for job in state.jobs.values():
         if _lifecycle.is_waiting(job):
@@ -478,45 +511,45 @@
 
 
 @handle.register
-def _stop(event: StopRequested, context: Context) -> None:
+def _handle_stop_requested(event: StopRequested, context: Context) -> None:
     state = context.state
     ownership = state.ownership
     state.is_stopping = True
-    if ownership.phase in _OWNING:
-        ownership.release_why = _STOPS
+    if ownership.phase in _OWNING_PHASES:
+        ownership.release_why = _STOP_REASON
         if not ownership.is_renewing:
             _renew(context)
-    elif ownership.phase not in _UNDER_WAY:
+    elif ownership.phase not in _TRANSITION_PHASES:
         ownership.phase = Phase.LEFT
 
 
 @handle.register
-def _released(event: LeaseReleased, context: Context) -> None:
+def _handle_lease_released(event: LeaseReleased, context: Context) -> None:
     ownership = context.state.ownership
-    is_ours = event.epoch_version == ownership.epoch_version
-    if ownership.phase is not Phase.RELEASING or not is_ours:
+    is_same_epoch = event.epoch_version == ownership.epoch_version
+    if ownership.phase is not Phase.RELEASING or not is_same_epoch:
         return
     if event.is_done:
         _end_ownership(context)
     else:
-        _keep_unit(event, context)
+        _resume_ownership(event, context)
 
 
-def _keep_unit(event: LeaseReleased, context: Context) -> None:
-    """Go on deciding for a unit that could not be given up.
+def _resume_ownership(event: LeaseReleased, context: Context) -> None:
+    """Resume the ownership of a unit that could not be released.
 
-    If the release may still be done, nothing is ordered until a renewal has
-    been: that one then keeps it from being done.
+    If the release may still be applied, no orders are sent until a renewal
+    succeeds: the conditions of the release fail from then on.
     """
     state = context.state
     ownership = state.ownership
     ownership.phase = ownership.released_from
-    ownership.release_why = _STOPS if state.is_stopping else ''
+    ownership.release_why = _STOP_REASON if state.is_stopping else ''
     if event.lease_version:
-        # A renewal of ours was done whose answer was lost or is to come.
+        # A renewal of this owner was applied whose answer is lost or late.
         ownership.lease_version = event.lease_version
     else:
-        ownership.release_after_ms = state.now_ms + _RELEASE_PAUSE_MS
+        ownership.release_after_ms = state.now_ms + _RELEASE_RETRY_MS
     if event.is_unsure:
         ownership.must_confirm = True
         ownership.paused_ms = state.now_ms
@@ -526,6 +559,6 @@
         must_confirm=ownership.must_confirm,
     )
     if ownership.phase is Phase.LOADING:
-        # What was loaded meanwhile was not taken in.
+        # The result of a load that ended meanwhile was ignored.
         context.emit(ForgetUnit())
         context.emit(LoadUnit())
--- a/src/tulippin/jobs/_resolving.py
+++ b/src/tulippin/jobs/_resolving.py
@@ -1,4 +1,4 @@
-"""Transactions whose answer may be lost, carried to a sure result."""
+"""Retrying store transactions in doubt until their result is known."""
 
 from __future__ import annotations
 
@@ -15,48 +15,49 @@
     TransactionResult,
 )
 
-# Between two tries that were refused: some ten calls of the store, doubled
-# up to a limit that an instance's share of a returning store bears.
-_FIRST_PAUSE_S: t.Final = 0.04
-_LAST_PAUSE_S: t.Final = 0.4
-# A try that has no answer after so many usual answer times gets another
-# one beside it. A store that loses a third of the answers cost each loss
-# the call's timeout of 0.9 s before, and a lease of 2 s bears two of them.
-_LATE_FACTOR: t.Final = 3.0
-_LEAST_WAIT_S: t.Final = 0.15
-_LONGEST_WAIT_S: t.Final = 1.0
-# The most tries without an answer at one time.
-_MOST_OPEN: t.Final = 5
-# Weight of a new answer time in the usual one.
-_LEARN: t.Final = 0.3
+# Initial delay after a rejected attempt, about ten calls of the store. It is
+# doubled up to a limit at which a recovering store can serve all instances.
+_MIN_BACKOFF_S: t.Final = 0.04
+_MAX_BACKOFF_S: t.Final = 0.4
+# An attempt without an answer after this many usual answer times gets a
+# concurrent retry. Otherwise each lost answer costs the call's timeout of
+# 0.9 s, of which a lease of 2 s allows for two, and a store may lose a third
+# of its answers.
+_RETRY_ANSWER_TIMES: t.Final = 3.0
+_MIN_WAIT_S: t.Final = 0.15
+_MAX_WAIT_S: t.Final = 1.0
+# Maximum number of concurrent attempts.
+_MAX_OPEN_ATTEMPTS: t.Final = 5
+# Weight of a new answer time in the moving average.
+_AVERAGE_WEIGHT: t.Final = 0.3
 
 
 @attrs.define
 class AnswerTimes:
-    """How long the store usually takes to answer a transaction.
+    """Moving average of the store's answer times for transactions.
 
-    A try that is lost counts with its time, if no other one beside it was
-    answered meanwhile: then it is the store that is slow.
+    An attempt whose answer is lost counts with its duration.
     """
 
     usual_s: float = 0.0
 
     def note(self, took_s: float) -> None:
-        """Take in the time of an answer, or of a try without one."""
-        self.usual_s += _LEARN * (took_s - self.usual_s)
+        """Add the time of an answer, or of an attempt without one."""
+        self.usual_s += _AVERAGE_WEIGHT * (took_s - self.usual_s)
 
     def expect(self, usual_s: float) -> None:
-        """Take a store to be no faster than others have found it."""
+        """Raise the usual answer time to one that others have observed."""
         self.usual_s = max(self.usual_s, usual_s)
 
     @property
     def wait_s(self) -> float:
-        """How long a try waits for its answer before another one is sent.
+        """Time to wait for an answer before a concurrent retry, in seconds.
 
-        A slow store is not sent twice what it would have answered.
+        It grows with the usual answer time, so that a slow store doesn't get
+        retries of transactions that it would have answered.
         """
         return min(
-            max(_LATE_FACTOR * self.usual_s, _LEAST_WAIT_S), _LONGEST_WAIT_S
+            max(_RETRY_ANSWER_TIMES * self.usual_s, _MIN_WAIT_S), _MAX_WAIT_S
         )
 
 
@@ -66,40 +67,47 @@
     limit_s: float,
     times: AnswerTimes | None = None,
 ) -> TransactionResult:
-    """Carry out a transaction, again where its fate is open.
+    """Execute a transaction, and retry it while its outcome is in doubt.
 
-    A transaction is safe to repeat, also beside itself, as its conditions
-    fail once it has been done; the rows returned then tell whose writes
-    they met.
+    A transaction is safe to retry, also concurrently, as its conditions fail
+    once it has been applied; the rows returned then show whether they were
+    written by an earlier attempt.
 
     Parameters
     ----------
     store : RowStore
-        Where it is carried out.
+        The store that executes the transaction.
     transaction : Transaction
-        What is to be done.
+        The conditions and writes to apply.
     limit_s : float
-        No try is begun after so long.
+        Time limit after which no attempt is started.
     times : AnswerTimes, optional
-        What is known of the store's answers; kept up to date.
+        The store's answer times, which are updated.
+
+    Returns
+    -------
+    TransactionResult
+        The result of the first attempt with a known outcome.
 
     Raises
     ------
     UnavailableError
-        If it was surely not done in the time given, nor will be.
+        If the transaction was not applied and will not be.
     AnswerLostError
-        If it may have been done, or may still be.
+        If the transaction may have been applied, or may still be.
     """
-    tries = _Tries(store, transaction, limit_s, times or AnswerTimes())
+    attempts = _TransactionAttempts(
+        store, transaction, limit_s, times or AnswerTimes()
+    )
     async with trio.open_nursery() as nursery:
-        await tries.run(nursery)
+        await attempts.run(nursery)
         nursery.cancel_scope.cancel()
-    return tries.conclude()
+    return attempts.conclude()
 
 
 @attrs.define
-class _Tries:
-    """All tries of one transaction; the first sure result counts."""
+class _TransactionAttempts:
+    """The attempts of one transaction; the first known outcome counts."""
 
     store: RowStore
     transaction: Transaction
@@ -107,98 +115,103 @@
     times: AnswerTimes
     result: TransactionResult | None = None
     reason: UnavailableError | None = None
-    sent_count: int = 0
+    started_count: int = 0
     open_count: int = 0
     is_lost: bool = False
-    crowded_count: int = 0
-    pause_s: float = _FIRST_PAUSE_S
+    rejected_count: int = 0
+    backoff_s: float = _MIN_BACKOFF_S
     _changed: trio.Event = attrs.field(factory=trio.Event)
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Send tries until one has a sure result, or time is up."""
-        give_up_at = trio.current_time() + self.limit_s
+        """Start attempts until one has a known outcome or time runs out."""
+        deadline_s = trio.current_time() + self.limit_s
         while True:
-            if self.open_count < _MOST_OPEN:
-                self.sent_count += 1
+            if self.open_count < _MAX_OPEN_ATTEMPTS:
+                self.started_count += 1
                 self.open_count += 1
-                nursery.start_soon(self._try)
+                nursery.start_soon(self._run_attempt)
             await self._wait(self._get_wait_s())
             if self.result is not None:
                 return
             if not self.open_count:
-                # All were refused, or are lost: the store is given time.
-                if trio.current_time() + self.pause_s >= give_up_at:
+                # All attempts were rejected or lost: backs off.
+                if trio.current_time() + self.backoff_s >= deadline_s:
                     return
-                await trio.sleep(self.pause_s)
-                self.pause_s = min(self.pause_s * 2, _LAST_PAUSE_S)
-            elif trio.current_time() >= give_up_at:
+                await trio.sleep(self.backoff_s)
+                self.backoff_s = min(self.backoff_s * 2, _MAX_BACKOFF_S)
+            elif trio.current_time() >= deadline_s:
                 await self._wait(math.inf)
                 return
 
     def _get_wait_s(self) -> float:
-        """Return how long to wait before another try is sent beside.
+        """Return the time to wait before a concurrent retry, in seconds.
 
-        A store that refuses one beside others has more to do than it can.
+        The time doubles with each attempt that is rejected while others are
+        open, as the store is overloaded then.
         """
-        wait_s = self.times.wait_s * 2**self.crowded_count
-        return min(wait_s, _LONGEST_WAIT_S)
+        wait_s = self.times.wait_s * 2**self.rejected_count
+        return min(wait_s, _MAX_WAIT_S)
 
     async def _wait(self, wait_s: float) -> None:
-        """Wait for a result, or until no try is open, or for so long."""
+        """Wait for a result, the end of all attempts, or the time limit."""
         with trio.move_on_after(wait_s):
             while self.result is None and self.open_count:
                 self._changed = trio.Event()
                 await self._changed.wait()
 
-    async def _try(self) -> None:
+    async def _run_attempt(self) -> None:
         began_s = trio.current_time()
         try:
             result = await self.store.transact(self.transaction)
         except AnswerLostError as error:
-            # No other try had an answer in this time either.
+            # No concurrent attempt was answered in this time either: the
+            # store is slow.
             self.times.note(trio.current_time() - began_s)
             self.is_lost = True
             self.reason = error
         except UnavailableError as error:
             self.reason = error
-            self.crowded_count += self.open_count > 1
+            self.rejected_count += self.open_count > 1
         else:
             self.times.note(trio.current_time() - began_s)
-            self._take(result)
+            self._set_result(result)
         self.open_count -= 1
         self._changed.set()
 
-    def _take(self, result: TransactionResult) -> None:
+    def _set_result(self, result: TransactionResult) -> None:
         if self.result is not None:
             return
         is_only = self.open_count == 1 and not self.is_lost
         if not is_only:
-            result = _recognize(self.transaction, result)
+            result = _recognize_own_writes(self.transaction, result)
         self.result = result
 
     def conclude(self) -> TransactionResult:
-        """Return the result; raise what kept it from being sure."""
+        """Return the result, or raise the error of the last attempt."""
         if self.result is not None:
             return self.result
-        reason = self.reason or UnavailableError('the store is not reached')
+        reason = self.reason or UnavailableError('the store is unreachable')
         if self.is_lost:
             raise AnswerLostError(reason.message) from reason
         raise reason
 
 
-def _recognize(
+def _recognize_own_writes(
     transaction: Transaction, result: TransactionResult
 ) -> TransactionResult:
-    """Tell whether the rows met are those of our own earlier try."""
+    """Return a successful result if an earlier attempt wrote the rows found.
+
+    Any other result is returned unchanged.
+    """
     if result.is_done:
         return result
     written = {(write.table, write.key): write for write in transaction.writes}
-    met = {(row.table, row.key): row for row in result.rows}
-    shared = [place for place in written if place in met]
-    is_ours = bool(shared) and all(
-        met[place].value == written[place].value for place in shared
+    found = {(row.table, row.key): row for row in result.rows}
+    shared = [row_key for row_key in written if row_key in found]
+    is_applied = bool(shared) and all(
+        found[row_key].value == written[row_key].value for row_key in shared
     )
-    if not is_ours:
+    if not is_applied:
         return result
-    version = max(met[place].version for place in shared)
+    version = max(found[row_key].version for row_key in shared)
     return TransactionResult(True, version, result.rows)
--- a/src/tulippin/jobs/_soundness.py
+++ b/src/tulippin/jobs/_soundness.py
@@ -1,8 +1,9 @@
-"""Telling a worker that is slow or stands still from one that is busy.
+"""Detection of slow workers and of stalled tasks.
 
-Neighbours raise a tail by so much at most; a tail far above that is the
-worker's own doing, teaches nothing about images, and its tasks do better
-elsewhere. So does a task that has used no processor for a while.
+Interference between colocated tasks raises tail latency up to a limit. Tails
+far above it are caused by the worker itself: they say nothing about images,
+and the worker's tasks perform better elsewhere. The same holds for a task
+that has used no processor time for a while.
 """
 
 from __future__ import annotations
@@ -20,63 +21,71 @@
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import Attempt, AttemptState, Worker
 
-# Two reports in a row, beside neighbours 400 ms apart.
-_SICK_AFTER_MS: t.Final = 700
-# How long a worker is left alone after each report that it is unwell.
-_LEFT_ALONE_MS: t.Final = 1500
-# A task is read at least once a second, and its load is that of the last
-# half second.
-_STILL_AFTER_MS: t.Final = 1500
+# Covers two consecutive reports of a worker, 400 ms apart.
+_UNHEALTHY_AFTER_MS: t.Final = 700
+# Time for which a worker gets no new tasks after each unhealthy report.
+_QUARANTINE_MS: t.Final = 1500
+# The load of a task is sampled at least once a second, over the last half
+# second.
+_STALLED_AFTER_MS: t.Final = 1500
 
 
 def judge(worker: Worker, context: Context) -> None:
-    """Take a worker out of use while its tasks are far too slow."""
+    """Quarantine a worker whose tasks are stalled or far too slow.
+
+    Stalled tasks are moved to other workers, and one long-running task at a
+    time if the worker stays unhealthy.
+    """
     state = context.state
     if _is_unwell(worker, context):
         worker.unwell_since_ms = worker.unwell_since_ms or state.now_ms
     else:
         worker.unwell_since_ms = 0
-    still = [one for one in worker.attempts.values() if _is_still(one, context)]
+    stalled = [
+        attempt
+        for attempt in worker.attempts.values()
+        if _is_stalled(attempt, context)
+    ]
     lasted_ms = state.now_ms - (worker.unwell_since_ms or state.now_ms)
-    if lasted_ms < _SICK_AFTER_MS and not still:
+    if lasted_ms < _UNHEALTHY_AFTER_MS and not stalled:
         return
     if worker.quarantined_until_ms < state.now_ms:
         state.count('workers_unwell')
         context.log(
-            'worker unwell',
+            'worker unhealthy',
             worker=worker.worker_id,
             lasted_ms=lasted_ms,
-            tasks_still=len(still),
+            tasks_still=len(stalled),
         )
     worker.quarantined_until_ms = max(
-        worker.quarantined_until_ms, state.now_ms + _LEFT_ALONE_MS
+        worker.quarantined_until_ms, state.now_ms + _QUARANTINE_MS
     )
-    for attempt in still:
-        _move(attempt, 'stands still', context)
-    if lasted_ms >= _SICK_AFTER_MS:
+    for attempt in stalled:
+        _move(attempt, 'stalled', context)
+    if lasted_ms >= _UNHEALTHY_AFTER_MS:
         _move_one_serving(worker, context)
 
 
 def _is_unwell(worker: Worker, context: Context) -> bool:
-    """Whether most tails there are above what neighbours can do."""
-    found = _interference.get_exposure(worker)
-    if found is None:
+    """Whether most tails on a worker exceed what interference explains."""
+    exposures = _interference.get_exposure(worker)
+    if exposures is None:
         return False
-    exposure = sum(found.values())
-    known = 0
-    beyond = 0
+    exposure = sum(exposures.values())
+    known_count = 0
+    excessive_count = 0
     for attempt in worker.serving.values():
         alone_ms = _tails.get_undisturbed_ms(attempt, context.state)
         if alone_ms <= 0 or attempt.load <= 0:
             continue
-        known += 1
+        known_count += 1
         excess = math.log(attempt.load / alone_ms)
-        beyond += _tails.is_own_doing(excess, exposure)
-    return known > 0 and beyond * 2 > known
+        excessive_count += _tails.is_own_doing(excess, exposure)
+    return known_count > 0 and excessive_count * 2 > known_count
 
 
-def _is_still(attempt: Attempt, context: Context) -> bool:
-    """Whether a task that may work has used no processor for a while."""
+def _is_stalled(attempt: Attempt, context: Context) -> bool:
+    """Whether a task that may work has used no processor time for a while."""
     if attempt.step.target_ms or attempt.state is not AttemptState.RUNNING:
         return False
     if attempt.wanted_percent < 100 or attempt.pace_percent != 100:
@@ -84,17 +93,20 @@
     if attempt.step.gang or attempt.progress_percent >= 100:
         return False
     since_ms = max(attempt.worked_ms, attempt.seen_ms, attempt.paced_ms)
-    return context.state.now_ms - since_ms > _STILL_AFTER_MS
+    return context.state.now_ms - since_ms > _STALLED_AFTER_MS
 
 
 def _move(attempt: Attempt, why: str, context: Context) -> None:
-    """Stop a task here; one that stands still counts as away already."""
+    """Stop a run, and prefer other workers for the next one."""
     _attempts.avoid(attempt, context)
     _attempts.stop_attempt(attempt, context, why)
 
 
 def _move_one_serving(worker: Worker, context: Context) -> None:
-    """Move one long-running task at a time, if it fits elsewhere."""
+    """Move one long-running task that fits elsewhere.
+
+    Does nothing while a long-running task of the worker is being stopped.
+    """
     for attempt in worker.serving.values():
         if attempt.state is AttemptState.STOPPING:
             return
@@ -102,6 +114,6 @@
         if not _scoring.fits_elsewhere(attempt, context):
             continue
         if _availability.may_end(attempt, context):
-            _move(attempt, 'its worker is unwell', context)
+            _move(attempt, 'its worker is unhealthy', context)
             return
         context.state.count('moves_held_back')
--- a/src/tulippin/jobs/_unseen.py
+++ b/src/tulippin/jobs/_unseen.py
@@ -1,12 +1,11 @@
-"""Runs of earlier owners that may go on where nobody sees them.
-
-A task is started only once no run of it can be left. After a planned
-release the last owner's account tells where each task may run, so that
-only tasks on a silent worker wait, and for no longer than the lease that
-they were given. After a crash that is known of long-running tasks alone, by
-their jobs' rows, which tell of a start before its order is sent: every other
-task of an older job waits for all workers that the last owner may have given
-orders to.
+"""Unconfirmed runs: runs of earlier owners that may go on unreported.
+
+A task is started only once no run of an earlier owner can be left. After a
+planned release, the release report of the last owner names the workers where
+each task may run, so that only tasks on a silent worker wait, and only until
+their worker's lease lapses. After a crash this is known for long-running
+tasks only: their workers are stored before an order is sent. All other tasks
+of older jobs wait for every worker that may have orders of the last owner.
 """
 
 from __future__ import annotations
@@ -20,64 +19,74 @@
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step, WorkerEntry, parse_task
 
-# How long an owner that was succeeded may go on without knowing it: its
-# feed of jobs tells it at once, and any other worker at its next report,
-# a second later.
-_UNAWARE_MS: t.Final = 1500
-# Added to the end of a lease for the time that messages take.
+# Maximum time for which an owner may be unaware of its successor. It learns
+# of it from its feed of jobs at once, or from any other worker's next report a
+# second later.
+_MAX_UNAWARE_MS: t.Final = 1500
+# Added to the end of a worker's lease for the delay of messages.
 _LAPSE_SLACK_MS: t.Final = 400
-# How many workers a line of the log names.
-_MOST_NAMED: t.Final = 5
+# Number of workers that a log line names.
+_MAX_LOGGED_WORKERS: t.Final = 5
 
 
 def extend_lapse(
     worker: Worker, lasting_ms: int, state: SchedulerState
 ) -> None:
-    """Note that an order may let runs go on for so long."""
+    """Extend the time at which runs on a worker lapse.
+
+    Parameters
+    ----------
+    worker : Worker
+        The worker that gets an order.
+    lasting_ms : int
+        How long the order lets runs go on.
+    state : SchedulerState
+        The state of the unit.
+    """
     drift = state.config.clock_drift_ratio
     at_ms = state.now_ms + int(lasting_ms * drift) + _LAPSE_SLACK_MS
     worker.lapse_at_ms = max(worker.lapse_at_ms, at_ms)
 
 
-def is_sure(worker: Worker, state: SchedulerState) -> bool:
-    """Whether all that an earlier owner started there is known, or over."""
+def are_runs_confirmed(worker: Worker, state: SchedulerState) -> bool:
+    """Whether a worker can't have unconfirmed runs of an earlier owner."""
     return worker.is_reconciled or state.now_ms > worker.lapse_at_ms
 
 
 def is_settled(state: SchedulerState) -> bool:
-    """Whether no task at all can run that an earlier owner started unseen."""
+    """Whether no worker can have unconfirmed runs of any task."""
     return state.now_ms > state.unsettled_until_ms and all(
-        is_sure(worker, state)
+        are_runs_confirmed(worker, state)
         for worker in state.workers.values()
         if worker.may_run_anything
     )
 
 
 def list_awaited(state: SchedulerState) -> list[str]:
-    """Return the workers where earlier owners' runs may go on unseen."""
+    """Return the ids of rostered workers that may have unconfirmed runs."""
     return [
         worker_id
         for worker_id, worker in state.workers.items()
-        if worker.is_rostered and not is_sure(worker, state)
+        if worker.is_rostered and not are_runs_confirmed(worker, state)
     ]
 
 
 def get_awaited_ms(state: SchedulerState) -> int:
-    """Return after how long at most no earlier owner's run is left unseen."""
-    ends_ms = [
+    """Return the time until all unconfirmed runs have lapsed, at most."""
+    lapse_times_ms = [
         state.workers[worker_id].lapse_at_ms
         for worker_id in list_awaited(state)
     ]
-    return max(0, max(ends_ms, default=0) - state.now_ms)
+    return max(0, max(lapse_times_ms, default=0) - state.now_ms)
 
 
 def note_settled(state: SchedulerState) -> list[Job]:
-    """Let no job wait for all workers any more, once none has to.
+    """End the wait of jobs for all workers once it isn't needed any more.
 
     Returns
     -------
     list of Job
-        Those that did wait until now.
+        The jobs that have waited until now.
     """
     if state.is_settled or not is_settled(state):
         return []
@@ -92,15 +101,19 @@
 
 
 def holds_back(job: Job, step: Step) -> bool:
-    """Whether tasks of a step may run on any worker that is not sure."""
-    is_told = step.long_running and job.knows_places
-    return job.awaits_workers and not is_told
+    """Whether the tasks of a step wait for all workers with orders.
+
+    Any of these workers may have unconfirmed runs of the tasks.
+    """
+    is_recorded = step.long_running and job.knows_places
+    return job.awaits_workers and not is_recorded
 
 
 def is_awaited(task: Task, state: SchedulerState) -> bool:
-    """Whether a task may run on a silent worker by the last account.
+    """Whether a task may have an unconfirmed run on a known worker.
 
-    Workers that are sure by now are struck off the task.
+    Workers that can't have unconfirmed runs any more are removed from the
+    task.
     """
     if not task.unseen_on:
         return False
@@ -108,7 +121,7 @@
         worker_id
         for worker_id in task.unseen_on
         if worker_id in state.workers
-        and not is_sure(state.workers[worker_id], state)
+        and not are_runs_confirmed(state.workers[worker_id], state)
     }
     return bool(task.unseen_on)
 
@@ -116,11 +129,12 @@
 def note_answer(
     worker: Worker, state: SchedulerState, *, is_whole: bool
 ) -> None:
-    """Take in that a worker knows us, and obeys no earlier owner any more.
+    """Record that a worker has accepted this owner and fences earlier ones.
 
-    What an earlier one has granted last was granted before that. Counting
-    from our taking by the longest lease that workers know held tasks of a
-    worker that left soon after back for 10.6 s, where owners grant 4.5 s.
+    The last lease of an earlier owner was granted before this answer, so the
+    lapse time is counted from here with the usual lease. Counted from the
+    takeover with the longest lease that workers accept, tasks of a worker
+    that leaves soon after wait for 10.6 s, where owners grant 4.5 s.
     """
     if not worker.is_reconciled:
         worker.lapse_at_ms = 0
@@ -128,56 +142,56 @@
     worker.is_reconciled = is_whole
 
 
-# -- beginning with what an earlier owner left --------------------------------
+# -- starting from the state that an earlier owner left -----------------------
 
 
 def begin(account: AccountRecord | None, context: Context) -> None:
-    """Note on which workers the earlier owners' runs may go on."""
+    """Record which workers may have unconfirmed runs, and until when."""
     state = context.state
     state.is_settled = False
-    known = _get_told(account, context)
+    reports = _get_valid_report(account, context)
     for worker_id, address in state.roster.items():
         worker = state.workers.get(worker_id)
         if worker is None:
-            # Its entry may have lapsed: neither its room is known nor what
-            # it is for.
+            # Its registration may have lapsed: neither its capacity nor its
+            # service is known.
             entry = WorkerEntry(worker_id, '', address, '', None)
             worker = state.workers[worker_id] = Worker(entry, is_listed=False)
         worker.is_rostered = True
-        # What was in use there under the last owner.
+        # The usage under the last owner is unknown.
         worker.exposure = None
-        told = known.get(worker_id) if known is not None else None
-        if told is not None:
-            worker.may_run_anything = told.tasks is None
-            # The account counts to the end, with all that is added to it.
-            worker.lapse_at_ms = state.now_ms + told.lasting_ms
-        elif known is None:
+        reported = reports.get(worker_id) if reports is not None else None
+        if reported is not None:
+            worker.may_run_anything = reported.tasks is None
+            # The reported duration includes drift and slack already.
+            worker.lapse_at_ms = state.now_ms + reported.lasting_ms
+        elif reports is None:
             worker.may_run_anything = True
-            extend_lapse(worker, _get_inherited_ms(state), state)
-        # Otherwise it had come on the roster, and got no order yet, or all
-        # orders there were over, and it was still to be struck out.
-    unknown = [
+            extend_lapse(worker, _get_max_inherited_ms(state), state)
+        # Otherwise the worker was on the roster without an order, or all of
+        # its runs had ended and it was about to be removed.
+    unknown_workers = [
         worker_id
         for worker_id, worker in state.workers.items()
         if worker.may_run_anything
     ]
     context.log(
         'account read',
-        is_known=known is not None,
-        silent=sum(one.is_silent for one in (known or {}).values()),
-        unknown=len(unknown),
-        unknown_workers=unknown[:_MOST_NAMED],
+        is_known=reports is not None,
+        silent=sum(report.is_silent for report in (reports or {}).values()),
+        unknown=len(unknown_workers),
+        unknown_workers=unknown_workers[:_MAX_LOGGED_WORKERS],
         lasting_ms=get_awaited_ms(state),
     )
 
 
-def _get_told(
+def _get_valid_report(
     account: AccountRecord | None, context: Context
 ) -> t.Mapping[str, WorkerAccount] | None:
-    """Return what the last owner told by worker, if it told anything.
+    """Return the release report of the last owner, by worker id.
 
-    An account of an owner before it says nothing: since then another has
-    given orders that it does not hold.
+    Returns None if there is none, or if it is from an earlier owner: the
+    orders that the last owner gave aren't in it.
     """
     if account is None or account.epoch != context.fencing_token - 1:
         return None
@@ -185,10 +199,11 @@
 
 
 def begin_without_roster(context: Context) -> None:
-    """Begin where the roster can't be read.
+    """Begin with an unreadable roster.
 
-    Any worker may run anything, also one that is on no list any more: all
-    that are listed are asked, and the others' leases are waited out.
+    Any worker may run any task, including workers that aren't listed any
+    more. All listed workers are synchronized, and the leases of others are
+    waited out.
     """
     state = context.state
     state.roster = {
@@ -196,57 +211,64 @@
         for worker in state.workers.values()
     }
     begin(None, context)
-    # It differs from what is wanted, and so is written anew.
+    # An empty roster differs from the wanted one, so it is written again.
     state.roster = {}
-    lasting_ms = _get_inherited_ms(state) * state.config.clock_drift_ratio
+    lasting_ms = _get_max_inherited_ms(state) * state.config.clock_drift_ratio
     state.unsettled_until_ms = state.now_ms + int(lasting_ms) + _LAPSE_SLACK_MS
 
 
-def _get_inherited_ms(state: SchedulerState) -> int:
-    """Return the longest that another owner's orders may still last."""
+def _get_max_inherited_ms(state: SchedulerState) -> int:
+    """Return how long orders of another owner may last, at most."""
     config = state.config
-    granted_ms = config.worker_lease_ms + _UNAWARE_MS
+    granted_ms = config.worker_lease_ms + _MAX_UNAWARE_MS
     return min(config.worker_lease_limit_ms, granted_ms)
 
 
-def note_tasks(account: AccountRecord | None, context: Context) -> None:
-    """Note which tasks may run on which workers, by the last account.
+def record_reported_tasks(
+    account: AccountRecord | None, context: Context
+) -> None:
+    """Record which tasks may run on which workers, by the release report.
 
-    Of the workers that it names it knows all, and more lately than the rows.
+    The report is complete for the workers whose tasks it names, and more
+    recent than the rows of the jobs.
     """
     state = context.state
-    known = _get_told(account, context) or {}
-    surely = {one for one, told in known.items() if told.tasks is not None}
-    if surely:
+    reports = _get_valid_report(account, context) or {}
+    complete = {
+        worker_id
+        for worker_id, report in reports.items()
+        if report.tasks is not None
+    }
+    if complete:
         for job in state.jobs.values():
             for task in job.tasks.values():
-                task.unseen_on -= surely
-    for worker_id, told in known.items():
-        for name in told.tasks or ():
+                task.unseen_on -= complete
+    for worker_id, report in reports.items():
+        for name in report.tasks or ():
             key = parse_task(name)
             job = state.jobs.get(key.job_id)
             is_task = job is not None and has_task(job.request, key)
             if is_task and worker_id in state.workers:
-                _note_unseen(_lifecycle.get_task(job, key), worker_id)
+                _add_unconfirmed_run(_lifecycle.get_task(job, key), worker_id)
 
 
-def _note_unseen(task: Task, worker_id: str) -> None:
+def _add_unconfirmed_run(task: Task, worker_id: str) -> None:
     task.unseen_on.add(worker_id)
     if task.open_start is None:
-        # Its start may not be durable; which run it was is not told.
+        # Its start may not be durable; the number of the run is unknown.
         task.open_start = (0, worker_id)
 
 
-# -- the account for the next owner -------------------------------------------
+# -- the release report for the next owner ------------------------------------
 
 
 def make_account(context: Context) -> AccountRecord:
-    """Return where each task may run, for an owner that follows us."""
+    """Return the release report: where each task may run."""
     state = context.state
-    unseen = _collect_unseen(state)
+    unconfirmed = _collect_unconfirmed(state)
     workers = {
-        worker.worker_id: _make_worker(
-            worker, unseen.get(worker.worker_id, set()), state
+        worker.worker_id: _make_worker_report(
+            worker, unconfirmed.get(worker.worker_id, set()), state
         )
         for worker in state.workers.values()
         if worker.is_rostered
@@ -254,8 +276,8 @@
     return AccountRecord(context.fencing_token, workers)
 
 
-def _collect_unseen(state: SchedulerState) -> dict[str, set[str]]:
-    """Return by worker the tasks that may still run there unseen."""
+def _collect_unconfirmed(state: SchedulerState) -> dict[str, set[str]]:
+    """Return the names of tasks with unconfirmed runs, by worker id."""
     found: dict[str, set[str]] = {}
     for job in state.jobs.values():
         for task in job.tasks.values():
@@ -265,18 +287,21 @@
     return found
 
 
-def _make_worker(
-    worker: Worker, unseen: set[str], state: SchedulerState
+def _make_worker_report(
+    worker: Worker, unconfirmed: set[str], state: SchedulerState
 ) -> WorkerAccount:
+    """Return the release report of one worker."""
     lasting_ms = max(0, worker.lapse_at_ms - state.now_ms)
     is_silent = worker.failed_count > 0 or not worker.is_reconciled
-    if worker.may_run_anything and not is_sure(worker, state):
+    if worker.may_run_anything and not are_runs_confirmed(worker, state):
         return WorkerAccount(lasting_ms, None, is_silent)
-    # The end of a run that is not durable yet is known to the worker alone:
-    # without it a task that is done would be started again.
+    # An end that isn't durable yet is known only to the worker. Without its
+    # task in the report, a task that is done would be started again.
     keys = {attempt.key for attempt in worker.attempts.values()}
     keys.update(worker.unsettled.values())
     keys.update(worker.early_ends)
     keys.update(key for key, _ in worker.strays)
     names = {key.format() for key in keys}
-    return WorkerAccount(lasting_ms, tuple(sorted(names | unseen)), is_silent)
+    return WorkerAccount(
+        lasting_ms, tuple(sorted(names | unconfirmed)), is_silent
+    )
--- a/tests/tulippin/jobs/test_begun_tasks.py
+++ b/tests/tulippin/jobs/test_begun_tasks.py
@@ -1,4 +1,4 @@
-"""Which long-running tasks have run is known to the next owner."""
+"""Tests that the next owner knows which long-running tasks have run."""
 
 import attrs
 import pytest
@@ -16,12 +16,12 @@
 from tulippin.jobs.types import JobState
 
 JOB = '0000000000000001'
-ROOM = 32
-TASKS = 40
+TASK_CAPACITY = 32
+TASK_COUNT = 40
 
 
-def list_back(fleet):
-    """Return the tasks that wait, and whether each counts as missed."""
+def list_interrupted(fleet):
+    """Return for each waiting task whether it has run before."""
     state = fleet.instances[fleet.get_owner()].state
     job = state.jobs[JOB]
     return [
@@ -31,38 +31,43 @@
     ]
 
 
-# Guards against a taking that makes tasks that never ran count as missed.
+# Guards against a takeover after which tasks that never ran count as
+# interrupted.
 @pytest.mark.parametrize('is_planned', [True, False])
-def test_tasks_that_never_ran_do_not_count_as_missed_after_a_taking(
+def test_never_run_tasks_are_not_interrupted_after_takeover(
     run_virtual, is_planned
 ):
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
-            await fleet.submit(JOB, make_lasting(TASKS), QUEUE)
-            await fleet.wait_running(ROOM)
+            await fleet.submit(JOB, make_lasting(TASK_COUNT), QUEUE)
+            await fleet.wait_running(TASK_CAPACITY)
             await trio.sleep(1)
-            assert list_back(fleet) == [False] * (TASKS - ROOM)
+            assert list_interrupted(fleet) == [False] * (
+                TASK_COUNT - TASK_CAPACITY
+            )
             if is_planned:
                 await fleet.stop(fleet.get_owner())
             else:
                 fleet.kill_owner()
             await fleet.wait_owner()
             await trio.sleep(8)
-            assert fleet.count_running() == ROOM
-            assert list_back(fleet) == [False] * (TASKS - ROOM)
+            assert fleet.count_running() == TASK_CAPACITY
+            assert list_interrupted(fleet) == [False] * (
+                TASK_COUNT - TASK_CAPACITY
+            )
             fleet.check()
 
     run_virtual(run)
 
 
-# Guards against tasks that lost their run and are forgotten by the next owner.
-def test_task_that_waits_for_a_second_run_counts_as_missed_after_a_taking(
+# Guards against a takeover after which interrupted tasks count as never run.
+def test_lost_tasks_are_interrupted_after_takeover(
     run_virtual,
 ):
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
-            await fleet.submit(JOB, make_lasting(ROOM), QUEUE)
-            await fleet.wait_running(ROOM)
+            await fleet.submit(JOB, make_lasting(TASK_CAPACITY), QUEUE)
+            await fleet.wait_running(TASK_CAPACITY)
             await trio.sleep(1)
             fleet.platform.workers['w1'].fail_all()
             fleet.platform.workers['w1'].is_up = False
@@ -70,19 +75,19 @@
             fleet.kill_owner()
             await fleet.wait_owner()
             await trio.sleep(8)
-            found = list_back(fleet)
-            assert found
-            assert all(found)
+            was_interrupted = list_interrupted(fleet)
+            assert was_interrupted
+            assert all(was_interrupted)
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('bits', ['', 'x', '100000000', '-1'])
-def test_bits_that_name_no_task_are_refused(bits):
+def test_invalid_begun_bits_are_rejected(bits):
     request = make_request(make_step(4, long_running=True))
     record = ProgressRecord(JobState.RUNNING, begun={'0.0': 'f'})
     assert not _row_checks.find_progress_fault(record, request)
-    odd = attrs.evolve(record, begun={'0.0': bits})
-    assert _row_checks.find_progress_fault(odd, request)
-    odd = attrs.evolve(record, begun={'0.1': '1'})
-    assert _row_checks.find_progress_fault(odd, request)
+    invalid = attrs.evolve(record, begun={'0.0': bits})
+    assert _row_checks.find_progress_fault(invalid, request)
+    invalid = attrs.evolve(record, begun={'0.1': '1'})
+    assert _row_checks.find_progress_fault(invalid, request)
--- a/tests/tulippin/jobs/test_crash_counting.py
+++ b/tests/tulippin/jobs/test_crash_counting.py
@@ -1,7 +1,7 @@
-"""Which crashes count against a task, and what is known of its runs' ages.
+"""Tests of which crashes count for a task, and of the ages of its runs.
 
-What users saw: a task that crashes its workers was started a sixth time, after
-five crashes, some of which had counted for less or not at all.
+They guard against a sixth start of a task that crashes its workers, because
+some of its crashes count for less than one or not at all.
 """
 
 import pytest
@@ -14,11 +14,11 @@
 
 CRASHING = 'c' * 16
 LIMIT_S = 28
-MOST_STARTS = 5
+MAX_STARTS = 5
 
 
 def list_crashes(fleet):
-    """Return what the owner counts against the crashing task."""
+    """Return the crash records of the crashing task, as its owner has them."""
     owner = fleet.get_owner()
     jobs = fleet.instances[owner].state.jobs if owner else {}
     if CRASHING not in jobs:
@@ -42,13 +42,12 @@
 
 
 @pytest.mark.parametrize('lives_for_s', [0, 1.5])
-def test_crash_under_a_late_order_counts_in_full(run_virtual, lives_for_s):
-    """A worker that answered after an order was sent was not dead before it.
+def test_crash_after_late_order_counts_in_full(run_virtual, lives_for_s):
+    """A crash counts in full if its worker answered after the order.
 
-    Order of events: an order is on its way for long, and its worker goes on
-    to answer; the run ends the worker as soon as it begins, before an answer
-    tells of it. Cause: a run that no answer told of counted half, as if its
-    worker might have been dead when the order was sent.
+    An order is delayed while its worker goes on to answer, and the run crashes
+    the worker before an answer reports it. Such a crash must not count half,
+    as one of a worker that may have crashed before the order.
     """
 
     async def run():
@@ -76,15 +75,15 @@
 
 
 def get_run(fleet, job_id=CRASHING):
-    """Return the only run of a job's task, as its owner knows it."""
+    """Return a job's only task, its only run and the run's worker."""
     state = fleet.instances[fleet.get_owner()].state
     (task,) = state.jobs[job_id].tasks.values()
     (attempt,) = task.attempts.values()
     return task, attempt, state.workers[attempt.worker_id]
 
 
-def put_on_trial(fleet, job_id, probation_ms):
-    """Have a job's only run be one under suspicion; return its task."""
+def put_on_probation(fleet, job_id, probation_ms):
+    """Put a job's only run on probation, and return its task."""
     task, attempt, worker = get_run(fleet, job_id)
     crash = CrashRecord('gone', '', '', 1, 300, 0, is_sure=True)
     task.crashes[crash.worker_id] = crash
@@ -95,22 +94,22 @@
 
 
 async def lose_owners(fleet, count):
-    """Kill the owner after each of so many crashes, before it can tell."""
-    for lost in range(count):
-        await wait_started(fleet, lost + 1)
+    """Kill the owner after each of some crashes, before it commits them."""
+    for number in range(count):
+        await wait_started(fleet, number + 1)
         await trio.sleep(3.1)
         fleet.kill_owner()
-        await fleet.start(f'n{lost}')
+        await fleet.start(f'n{number}')
         await fleet.wait_owner()
 
 
-def test_run_outlives_none_whose_age_is_not_known(run_virtual):
-    """A crash whose run was there for how long nobody knows is no short one.
+def test_run_of_unknown_age_does_not_shorten_probation(run_virtual):
+    """A run of unknown age doesn't shorten the probation of later runs.
 
-    Order of events: a task ends its workers 3 s after each start, and owners
-    are lost with two of them; the next owner takes both runs for 1 s old, and
-    the third for proved after 2 s, so that its crash is put down to a run
-    beside it that has just begun. Cause: an unknown age was kept as 1 s.
+    A task crashes its workers 3 s after each start, and owners crash with two
+    of them. If the next owner takes the unknown ages for 1 s, it clears the
+    third run after 2 s, and counts its crash for another run on the worker
+    that has just begun.
     """
     beside = 'd' * 16
 
@@ -126,7 +125,7 @@
             request = make_request(make_step(), run_ms=20_000)
             await fleet.submit(beside, request)
             await fleet.wait_running(2)
-            put_on_trial(fleet, beside, _trials.RECENT_MS)
+            put_on_probation(fleet, beside, _trials.MAX_SUSPECT_AGE_MS)
             with trio.fail_after(LIMIT_S):
                 while worker.worker_id not in task.crashes:
                     await trio.sleep(0.01)
@@ -135,8 +134,8 @@
     run_virtual(run)
 
 
-def test_run_outlives_none_that_nobody_saw(run_virtual):
-    """A crash before its order came tells nothing of how long a run lives."""
+def test_unseen_crash_does_not_shorten_probation(run_virtual):
+    """A crash before the order arrived doesn't show how long a run lasts."""
     beside = 'd' * 16
 
     async def run():
@@ -156,7 +155,7 @@
             request = make_request(make_step(), run_ms=20_000)
             await fleet.submit(beside, request)
             await fleet.wait_running(2)
-            put_on_trial(fleet, beside, _trials.RECENT_MS)
+            put_on_probation(fleet, beside, _trials.MAX_SUSPECT_AGE_MS)
             with trio.fail_after(LIMIT_S):
                 while worker.worker_id not in task.crashes:
                     await trio.sleep(0.01)
@@ -164,8 +163,8 @@
     run_virtual(run)
 
 
-def test_age_of_an_adopted_run_is_not_known(run_virtual):
-    """The age of a run that was taken over is not the time since then."""
+def test_age_of_adopted_run_is_unknown(run_virtual):
+    """The age of an adopted run is unknown, not the time since takeover."""
 
     async def run():
         async with open_fleet(workers=2) as fleet:
@@ -180,24 +179,27 @@
     run_virtual(run)
 
 
-def test_crash_that_an_owner_noted_is_no_unknown_one_to_the_next(run_virtual):
+def test_known_crash_age_is_restored_by_next_owner(run_virtual):
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
             fleet.platform.back_after_ms = 2000
             await submit_crashing(fleet, 400)
             await wait_crashes(fleet)
             await trio.sleep(0.3)
-            (noted,) = list_crashes(fleet)
+            (recorded,) = list_crashes(fleet)
             fleet.kill_owner()
             await wait_started(fleet, 2)
-            known = {one.worker_id: one for one in list_crashes(fleet)}
-            kept = known[noted.worker_id]
-            assert (kept.age_ms, kept.is_age_known) == (noted.age_ms, True)
+            crashes = {crash.worker_id: crash for crash in list_crashes(fleet)}
+            restored = crashes[recorded.worker_id]
+            assert (restored.age_ms, restored.is_age_known) == (
+                recorded.age_ms,
+                True,
+            )
 
     run_virtual(run)
 
 
-def test_age_of_an_own_run_is_known(run_virtual):
+def test_age_of_ordered_run_is_known(run_virtual):
     async def run():
         async with open_fleet(workers=2) as fleet:
             await submit_crashing(fleet, 400)
@@ -208,7 +210,7 @@
 
 
 async def take_over(fleet):
-    """Kill the owner; return the job as the next one knows it."""
+    """Kill the owner; return the job from the state of the next owner."""
     fleet.kill_owner()
     owner = await fleet.wait_owner()
     state = fleet.instances[owner].state
@@ -219,15 +221,15 @@
 
 
 async def lose_start(fleet, after_ms=10):
-    """Lose a start with its owner, before any row tells of it."""
+    """Lose a start with its owner, before it is committed."""
     fleet.platform.back_after_ms = 2000
     await submit_crashing(fleet, after_ms)
     await wait_started(fleet, 1)
     return await take_over(fleet)
 
 
-async def crowd(fleet):
-    """Have some short task begin wherever there is room, all the time."""
+async def submit_short_jobs(fleet):
+    """Submit a short job every 100 ms, without end."""
     number = 0
     while True:
         number += 1
@@ -236,21 +238,21 @@
         await trio.sleep(0.1)
 
 
-def test_start_lost_with_its_owner_is_one_of_five(run_virtual):
-    """Each later crash is beside runs that had just begun, and so not clear."""
+def test_lost_start_counts_towards_crash_limit(run_virtual):
+    """Other recent runs on each worker keep later crashes ambiguous."""
 
     async def run():
         async with open_fleet(instances=3, workers=1) as fleet:
             await lose_start(fleet)
-            fleet.nursery.start_soon(crowd, fleet)
+            fleet.nursery.start_soon(submit_short_jobs, fleet)
             await fleet.wait_state(CRASHING, JobState.FAILED, 60)
             return fleet.count_starts(CRASHING)
 
-    assert run_virtual(run) <= MOST_STARTS
+    assert run_virtual(run) <= MAX_STARTS
 
 
 async def run_without_store(fleet):
-    """Return the starts until the store is back; the first one was lost."""
+    """Return the number of starts, the lost one included, without a store."""
     await lose_start(fleet)
     fleet.platform.store.trouble.silenced.add('*')
     await trio.sleep(6)
@@ -259,7 +261,7 @@
     return count
 
 
-def test_start_waits_until_the_lost_one_is_durable(run_virtual):
+def test_start_waits_until_lost_start_is_durable(run_virtual):
     async def run():
         async with open_fleet(instances=3, workers=6) as fleet:
             assert await run_without_store(fleet) == 1
@@ -268,8 +270,8 @@
     run_virtual(run)
 
 
-def test_start_that_does_not_wait_would_be_lost_too(run_virtual, monkeypatch):
-    monkeypatch.setattr(_crashes, '_are_doubts_durable', lambda *_: True)
+def test_start_without_wait_would_be_lost(run_virtual, monkeypatch):
+    monkeypatch.setattr(_crashes, '_are_lost_starts_durable', lambda *_: True)
 
     async def run():
         async with open_fleet(instances=3, workers=6) as fleet:
@@ -279,7 +281,7 @@
 
 
 @pytest.mark.parametrize('is_durable', [False, True])
-def test_start_is_lost_only_if_no_row_tells_it(run_virtual, is_durable):
+def test_start_is_lost_only_if_not_durable(run_virtual, is_durable):
     async def run():
         async with open_fleet(instances=3, workers=6) as fleet:
             await submit_crashing(fleet, 2000)
@@ -292,7 +294,7 @@
     run_virtual(run)
 
 
-def test_no_start_is_lost_where_all_workers_live(run_virtual):
+def test_no_start_is_lost_without_worker_crash(run_virtual):
     async def run():
         async with open_fleet(instances=3, workers=6) as fleet:
             job = await lose_start(fleet, after_ms=60_000)
@@ -305,7 +307,7 @@
     run_virtual(run)
 
 
-def test_job_with_a_lost_start_goes_on_without_the_store(run_virtual):
+def test_job_with_lost_start_continues_without_store(run_virtual):
     async def run():
         async with open_fleet(instances=3, workers=6) as fleet:
             steps = make_step(), make_step(after=(0,))
--- a/tests/tulippin/jobs/test_faults.py
+++ b/tests/tulippin/jobs/test_faults.py
@@ -1,4 +1,4 @@
-"""Workers that fail all they run are left alone; others are not."""
+"""Tests of the quarantine of workers on which all runs fail."""
 
 import pytest
 import trio
@@ -7,9 +7,9 @@
 
 WORKERS = 6
 JOBS = 12
-# Starts on a worker at fault before it is left alone: three jobs that fail
-# in a row, and what was on its way then.
-MOST_STARTS = 24
+# Maximum starts on a faulty worker before its quarantine: three jobs that fail
+# in a row, and the runs that were started meanwhile.
+MAX_STARTS = 24
 
 
 def count_starts_on(fleet, worker_id):
@@ -20,8 +20,8 @@
 
 
 @pytest.mark.parametrize('faulty', [('w0',), ('w0', 'w1')])
-def test_workers_that_fail_wide_jobs_are_left_alone(run_virtual, faulty):
-    """Each job fails on all of them at once, and is done on the others."""
+def test_workers_that_fail_all_jobs_are_quarantined(run_virtual, faulty):
+    """Jobs run on all workers at once, and fail on the faulty ones only."""
 
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
@@ -36,7 +36,7 @@
             state = fleet.instances[fleet.get_owner()].state
             assert state.counters['quarantines'] > 0
             for worker_id in faulty:
-                assert count_starts_on(fleet, worker_id) <= MOST_STARTS
+                assert count_starts_on(fleet, worker_id) <= MAX_STARTS
             fleet.check()
 
     run_virtual(run)
--- a/tests/tulippin/jobs/test_scheduler_crashes.py
+++ b/tests/tulippin/jobs/test_scheduler_crashes.py
@@ -156,7 +156,7 @@
 
 
 def test_owners_that_keep_no_starts_would_count_anew(run_virtual, monkeypatch):
-    monkeypatch.setattr(_lifecycle, '_list_started', lambda job: {})
+    monkeypatch.setattr(_lifecycle, '_list_recent_starts', lambda job: {})
     monkeypatch.setattr(
         _crashes, '_is_start_durable', lambda attempt, state: True
     )
@@ -253,7 +253,7 @@
 
 
 def test_suspect_that_does_not_wait_would_crash_more(run_virtual, monkeypatch):
-    monkeypatch.setattr(_crashes, '_is_durable', lambda job, task: True)
+    monkeypatch.setattr(_crashes, '_are_crashes_durable', lambda job, task: True)
     monkeypatch.setattr(
         _crashes, '_is_start_durable', lambda attempt, state: True
     )
--- a/tests/tulippin/jobs/test_scheduler_resolving.py
+++ b/tests/tulippin/jobs/test_scheduler_resolving.py
@@ -1,4 +1,4 @@
-"""What is listed, or answered, a second time counts once."""
+"""Tests of retried transactions and of ends that are reported twice."""
 
 import types
 
@@ -35,7 +35,7 @@
 
 @attrs.define
 class FirstAnswerLost:
-    """Carries out the first transaction and loses its answer."""
+    """Applies the first transaction and loses its answer."""
 
     store: StandinStore
     call_count: int = 0
@@ -48,7 +48,7 @@
         return result
 
 
-def test_own_write_is_recognized_after_a_lost_answer(run_virtual):
+def test_own_write_is_recognized_after_lost_answer(run_virtual):
     store = StandinStore()
 
     async def run():
@@ -60,7 +60,7 @@
     assert result.version == store.rows['t', 'p', 'k'].version
 
 
-def test_write_of_another_is_not_taken_for_ours(run_virtual):
+def test_write_of_another_is_not_taken_for_own(run_virtual):
     store = StandinStore()
 
     async def run():
@@ -83,7 +83,7 @@
         await store.get_view('a').transact(TRANSACTION)
 
 
-def test_late_write_is_done_seconds_after_it_was_given_up(run_virtual):
+def test_late_write_is_applied_seconds_after_timeout(run_virtual):
     store = StandinStore()
 
     async def run():
@@ -95,7 +95,7 @@
     run_virtual(run)
 
 
-def test_late_write_does_nothing_once_its_condition_fails(run_virtual):
+def test_late_write_with_failed_condition_is_not_applied(run_virtual):
     store = StandinStore()
     theirs = attrs.evolve(TRANSACTION, writes=(RowWrite('t', 'k', b'theirs'),))
 
@@ -109,7 +109,7 @@
     run_virtual(run)
 
 
-def test_failed_end_listed_again_counts_once():
+def test_failed_end_reported_twice_counts_once():
     state = SchedulerState(SchedulerConfig('i', 'i:1'), now_ms=1000)
     queue = Queue('q', 'h', '/q/', 's', max_attempts=2)
     job = Job('a', queue, JobRequest('', (Step(1),)), 1)
@@ -128,7 +128,7 @@
 
 @attrs.define
 class BusyStore:
-    """Takes long for the first transaction, and refuses others meanwhile."""
+    """Answers the first transaction late, and rejects others meanwhile."""
 
     store: StandinStore
     call_count: int = 0
@@ -136,19 +136,19 @@
     async def transact(self, transaction):
         self.call_count += 1
         if self.call_count > 1:
-            raise UnavailableError('the part is busy')
+            raise UnavailableError('the partition is busy')
         await trio.sleep(1.2)
         return self.store.apply(transaction)
 
 
-def test_busy_store_is_not_sent_the_same_again_and_again(run_virtual):
+def test_retries_to_busy_store_are_limited(run_virtual):
     view = BusyStore(StandinStore())
     result = run_virtual(transact_surely, view, TRANSACTION, 5.0)
     assert result.is_done
     assert view.call_count <= 5
 
 
-def test_store_that_others_found_slow_is_given_time():
+def test_observed_answer_time_raises_wait():
     times = AnswerTimes()
     times.expect(0.2)
     assert times.wait_s >= 0.2
@@ -157,35 +157,35 @@
 
 
 @attrs.define
-class AwayStore:
-    """Refuses everything until a time."""
+class UnavailableStore:
+    """Rejects all transactions until a given time."""
 
     store: StandinStore
     until_s: float
 
     async def transact(self, transaction):
         if trio.current_time() < self.until_s:
-            raise UnavailableError('the store is away')
+            raise UnavailableError('the store is unavailable')
         return self.store.apply(transaction)
 
 
 @pytest.mark.parametrize('hours', [0.1, 3])
-def test_commit_is_not_given_up_in_an_outage_of_hours(run_virtual, hours):
-    """Nothing more became durable under an owner that had given one up."""
-    told = []
+def test_commit_is_retried_through_outage_of_hours(run_virtual, hours):
+    """A commit is retried for hours, as nothing is durable without it."""
+    posted = []
 
     async def run():
-        away = AwayStore(StandinStore(), hours * 3600)
+        store = UnavailableStore(StandinStore(), hours * 3600)
         shell = types.SimpleNamespace(
             config=SchedulerConfig('i', 'i:1'),
-            ports=types.SimpleNamespace(store=away),
+            ports=types.SimpleNamespace(store=store),
             answer_times=AnswerTimes(),
             clock=lambda: 0,
-            post=told.append,
+            post=posted.append,
         )
         write = ProgressWrite('a', ProgressRecord(JobState.RUNNING), 0)
         await _run_commit(CommitProgress((write,), {}, 0), shell)
         await _run_roster(CommitRoster(RosterRecord({}), 0, 0), shell)
 
     run_virtual(run)
-    assert [one.is_fenced for one in told] == [False, False]
+    assert [event.is_fenced for event in posted] == [False, False]
--- a/tests/tulippin/jobs/test_scheduler_review.py
+++ b/tests/tulippin/jobs/test_scheduler_review.py
@@ -1,4 +1,4 @@
-"""Orders of events that a reading of the code found, one test each."""
+"""Regression tests of unusual orders of events, one test for each."""
 
 import contextlib
 import random
@@ -114,11 +114,11 @@
     ]
 
 
-# A task that is done is started again. Order of events: a new owner reads an
-# end of a job that it does not know, so this end and all after it wait; a run
-# that it has seen ends, behind that end; the run is in neither list that is
-# heeded, counts as vanished, and its task is started anew.
-def test_end_behind_one_that_waits_does_not_count_as_a_run_that_vanished():
+# Guards against a second start of a task that is done: a new owner reads an end
+# of a job that it doesn't know, so this end and all later ones wait. If a known
+# run ends behind it, the run is in neither list of the report, counts as
+# vanished, and its task is started again.
+def test_end_behind_waiting_end_is_no_vanished_run():
     state = make_owner()
     job = add_job(state)
     key = TaskKey(JOB, 0, 0, 0)
@@ -143,34 +143,34 @@
     assert get_started(effects) == []
 
 
-# The account lists no run that its owner has met before the run's job, nor an
-# end that waits for its job: the next owner knows the job, finds no task of it
-# in the account, and starts it beside the run.
-def test_account_tells_of_runs_whose_job_is_not_known():
+# Guards against a release report without runs, or ends, of jobs that its owner
+# doesn't know yet: the next owner knows the job, finds no task of it in the
+# report, and starts the task although it runs.
+def test_release_report_contains_runs_of_unknown_jobs():
     state = make_owner()
     key = TaskKey(UNKNOWN, 0, 0, 0)
     report(state, 'w0', NOW_MS + 100, (RunningTask(key, 1, '', 5, None),))
-    account = make_account(Context(state))
-    tasks = account.workers['w0'].tasks
+    release_report = make_account(Context(state))
+    tasks = release_report.workers['w0'].tasks
     assert tasks is None or key.format() in tasks
 
 
-# As above for an end that waits; its worker was told of in an account.
-def test_account_tells_of_ends_that_wait_for_their_job():
+# As above for an end that waits for its job.
+def test_release_report_contains_ends_of_unknown_jobs():
     state = make_owner()
     key = TaskKey(UNKNOWN, 0, 0, 0)
     end = EndedRun(1, key, 1, RunOutcome.DONE, '')
     report(state, 'w0', NOW_MS + 100, ended=(end,))
-    account = make_account(Context(state))
-    tasks = account.workers['w0'].tasks
+    release_report = make_account(Context(state))
+    tasks = release_report.workers['w0'].tasks
     assert tasks is None or key.format() in tasks
 
 
-# An owner that is alive is succeeded. Order of events: an instance sees the
-# owner's lease at some count; it misses rows while the store does not answer
-# it; the owner gives the unit up and takes it again, counting from 0. Its
-# renewals have lower counts than the known one, so they are no sign of life.
-def test_lease_of_a_newer_epoch_is_a_sign_of_life():
+# Guards against a takeover from a live owner: an instance misses rows while the
+# store doesn't answer it, and the owner releases the unit and takes it again.
+# Its renewal count starts from 0, and must not be compared with the known count
+# of the earlier epoch.
+def test_lease_of_newer_epoch_shows_live_owner():
     state = SchedulerState(SchedulerConfig('b', 'b:1'), now_ms=0)
 
     def see(at_ms, count, version, epoch, epoch_version):
@@ -190,12 +190,12 @@
         at_ms = 500 * (number + 1)
         see(at_ms, number, 20 + number, 4, 20)
         effects = core.reduce(state, make_tick(at_ms + 10))
-        assert not any(isinstance(one, fx.TakeUnit) for one in effects)
+        assert not any(isinstance(effect, fx.TakeUnit) for effect in effects)
     assert state.ownership.phase is Phase.STANDING_BY
 
 
-# A renewal of an earlier ownership that is answered late ends the next one.
-def test_answer_to_a_renewal_of_an_earlier_ownership_ends_no_later_one():
+# Guards against a late answer to a renewal that ends the next ownership.
+def test_late_renewal_answer_does_not_end_later_ownership():
     state = make_owner()
     earlier = state.ownership.epoch_version - 1
     late = ev.LeaseRenewed(NOW_MS + 50, earlier, NOW_MS - 2200, False, True)
@@ -203,16 +203,16 @@
     assert state.ownership.phase is Phase.ACTIVE
 
 
-def keep_places(job, worker_id):
-    """Have it durable where tasks may run, so that no order waits for that."""
+def make_assignments_durable(job, worker_id):
+    """Make the assignments of a job durable, so that no order waits."""
     places = {get_name(key): (worker_id,) for key in job.tasks}
     job.durable = ProgressRecord(JobState.RUNNING, places=places)
 
 
-# Tasks that have run and must wait for a silent worker, or have no place at
-# all, use up the tries, and one with a place is not put before the short tasks.
+# Guards against overdue tasks without a candidate worker that use up all
+# placement attempts, so that short tasks precede an overdue task that fits.
 @pytest.mark.parametrize('blocked', [0, _OVERDUE_TRIES])
-def test_overdue_tasks_without_a_place_do_not_keep_back_one_that_has(blocked):
+def test_overdue_tasks_without_candidate_do_not_block_others(blocked):
     state = make_owner(workers=1)
     now_ms = NOW_MS + 10 * OVERDUE_MS
     add_job(state, 'f' * 16, blocked, 900_000, long_running=True)
@@ -224,7 +224,7 @@
             step = state.jobs[job_id].request.steps[0]
             task.has_run = True
             add_ready(task, step, state)
-        keep_places(state.jobs[job_id], 'w0')
+        make_assignments_durable(state.jobs[job_id], 'w0')
     state.now_ms = now_ms - 10
     state.ownership.renewed_ms = now_ms
     state.workers['w0'].answered_ms = now_ms
@@ -232,10 +232,10 @@
     assert [key.job_id for key in get_started(effects)][:1] == [JOB]
 
 
-# Two runs of a task for as long as the cut lasts. The first owner reaches one
-# worker and not the store; the second reaches the store and the other worker.
-# No worker that both reach tells the first of its successor.
-def test_owner_cut_off_with_one_worker_from_store_and_others(run_virtual):
+# Guards against two concurrent runs of a task during a network partition. The
+# first owner reaches one worker and not the store; the second one reaches the
+# store and the other worker. No worker that both reach reports the successor.
+def test_owner_partitioned_with_one_worker(run_virtual):
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
             request = make_request(make_step(3), run_ms=60_000)
@@ -255,11 +255,9 @@
     run_virtual(run)
 
 
-# What the owners of a unit have learned is lost. Order of events: an instance
-# that stops takes the unit and releases it before it has loaded it.
-def test_release_before_loading_keeps_what_earlier_owners_learned(
-    run_virtual, monkeypatch
-):
+# Guards against the loss of a unit's models when a stopping instance takes the
+# unit and releases it before it has loaded it.
+def test_release_before_loading_keeps_models(run_virtual, monkeypatch):
     held = set()
     inner = StoreView.read_rows
 
@@ -278,19 +276,19 @@
             )
             await fleet.wait_done(JOB)
             await trio.sleep(5)
-            place = MODELS_TABLE, Unit(0).part, MODEL_KEY
+            row_key = MODELS_TABLE, Unit(0).part, MODEL_KEY
             (second,) = set(fleet.instances) - {first}
             held.add(second)
             await fleet.instances[first].shell.leave()
             fleet.kill(first)
-            before = fleet.platform.store.rows[place]
+            before = fleet.platform.store.rows[row_key]
             with trio.fail_after(5):
                 ownership = fleet.instances[second].state.ownership
                 while ownership.phase is not Phase.LOADING:
                     await trio.sleep(0.01)
                     ownership = fleet.instances[second].state.ownership
             await fleet.instances[second].shell.leave()
-            after = fleet.platform.store.rows[place]
+            after = fleet.platform.store.rows[row_key]
             return before, after
 
     before, after = run_virtual(run)
@@ -299,7 +297,10 @@
 
 @attrs.define
 class SlowStore:
-    """Does all it is told, and answers after so long if that is in time."""
+    """Applies all transactions, and answers them after a fixed time.
+
+    Answers that come too late are lost.
+    """
 
     answer_s: float
     calls: int = 0
@@ -312,12 +313,11 @@
         return TransactionResult(True, self.calls)
 
 
-# A store that is slow gets several times the writes, when it can bear them
-# least: all of them are carried out, one after the other within a part. Where
-# its answers come too late for the call, nothing is learned from them, and
-# each transaction goes on being sent after 0.15 s.
+# Guards against multiplied writes to a slow store, which applies all of them
+# one after the other within a partition. Attempts whose answers come too late
+# have to count as well: otherwise each transaction is retried after 0.15 s.
 @pytest.mark.parametrize('answer_s', [0.65, 1.2])
-def test_slow_store_is_not_sent_the_same_again_and_again(run_virtual, answer_s):
+def test_retries_to_slow_store_are_limited(run_virtual, answer_s):
     async def run():
         store = SlowStore(answer_s)
         times = AnswerTimes()
@@ -328,15 +328,15 @@
                 )
         return store.calls
 
-    # As many as without a second one beside an open one: a lost one has one
-    # more after it, which begins within the time given.
-    allowed = 10 if answer_s < SILENCE_S else 20
-    # While the usual time is learned, some are sent in vain.
-    assert run_virtual(run) <= allowed + 5
+    # The number without concurrent attempts: a lost one is followed by a second
+    # one, which begins within the time limit.
+    allowed_count = 10 if answer_s < SILENCE_S else 20
+    # Some concurrent attempts are sent until the usual time is known.
+    assert run_virtual(run) <= allowed_count + 5
 
 
 async def submit_many(fleet, source):
-    """Let jobs of all sorts come, each by any instance."""
+    """Submit jobs of different kinds, each at a random instance."""
     number = 0
     while True:
         number += 1
@@ -358,7 +358,7 @@
         await trio.sleep(source.uniform(0.05, 0.6))
 
 
-async def cut_off_by_turns(fleet, names, source):
+async def cut_off_workers(fleet, names, source):
     while True:
         await trio.sleep(source.uniform(0.2, 2))
         worker = source.choice(list(fleet.platform.workers.values()))
@@ -367,10 +367,10 @@
         worker.cut_off = set()
 
 
-# Several planned releases in a row, some sudden ends among them, while the
-# owners reach now these workers and now those.
+# Several planned releases and crashes in a row, while the workers that an owner
+# reaches keep changing.
 @pytest.mark.parametrize('seed', [6, 10, 12, 23])
-def test_releases_in_a_row_beside_cut_off_workers_start_all_once(
+def test_repeated_releases_with_cut_off_workers_start_tasks_once(
     run_virtual, seed
 ):
     source = random.Random(seed)
@@ -380,7 +380,7 @@
             names = list(fleet.instances)
             fleet.nursery.start_soon(submit_many, fleet, source)
             for _ in range(2):
-                fleet.nursery.start_soon(cut_off_by_turns, fleet, names, source)
+                fleet.nursery.start_soon(cut_off_workers, fleet, names, source)
             for _ in range(14):
                 await trio.sleep(source.choice((0.05, 0.5, 1, 2, 3)))
                 name = fleet.get_owner() or source.choice(names)
