--- a/src/tulippin/jobs/_balancing.py
+++ b/src/tulippin/jobs/_balancing.py
@@ -1,17 +1,18 @@
-"""Which unit is to keep a new job.
+"""Chooses the home unit of a new job.
 
-Owners tell twice a second, in their lease rows, what their workers hold
-and what is asked of them. Of two units taken at random the one with less
-asked of it is chosen: with figures that old, taking the best of all would
-send the jobs of half a second to one unit.
+Owners publish the capacity and load of their workers in their lease rows twice
+a second. Of two units drawn at random, the one with less load is chosen: with
+figures of that age, choosing the best of all units would send all jobs of half
+a second to the same unit.
 
-Where a job's first steps need places, the two are taken from the units
-that have them all. Long-running tasks fill a unit for minutes, and of two
-units at random both were among six full ones of 16 in 13% of draws: as
-many of the urgent jobs never began on a quiet day of 446 workers.
+If the first steps of a job reserve capacity, the two units are drawn from
+those where all their tasks fit. Long-running tasks fill a unit for minutes:
+with 6 of 16 units full, two random units were both full in 13% of draws, and
+as many of the urgent jobs never began in a lightly loaded deployment of 446
+workers.
 
-What waits for idle processors waits for want of a worker whose long-running
-tasks bear its image: it goes where least of its image waits.
+Opportunistic tasks wait for workers whose long-running tasks tolerate their
+image, so they go where least of their image waits.
 """
 
 from __future__ import annotations
@@ -29,22 +30,36 @@
 if t.TYPE_CHECKING:
     from tulippin.jobs.unit_shell import UnitShell
 
-# An owner whose lease has not changed for this long may be gone: it renews
-# every 0.5 s, and the feed is read 0.45 s apart.
-_FRESH_MS: t.Final = 1300
-_CHOICES: t.Final = 2
-# A unit counts as good as the best that has places for so much of its share.
-_NEARLY: t.Final = 0.9
-# How much fuller than the mean a unit may be that serves a job's image: what
-# makes it fuller is passed on.
-_FULLER: t.Final = 0.03
-# Of what tasks with a target reserve, the part that they leave idle.
-_IDLE_PART: t.Final = 0.5
+# An owner whose lease has not changed for this long may have failed: leases
+# are renewed every 0.5 s, and the feed is read every 0.45 s.
+_MAX_LEASE_AGE_MS: t.Final = 1300
+_CANDIDATE_COUNT: t.Final = 2
+# Units that fit at least this part of the best unit's share of tasks count as
+# equally good.
+_MIN_RELATIVE_SHARE: t.Final = 0.9
+# Load above the mean up to which a unit that serves a job's image is
+# preferred: tasks beyond that are transferred.
+_MAX_LOAD_ABOVE_MEAN: t.Final = 0.03
+# Share of the processors reserved by tasks with a latency target that is idle.
+_IDLE_SHARE: t.Final = 0.5
 
 
 @attrs.define
 class Demands:
-    """What this instance sent to each unit since its last lease row."""
+    """The demand that this instance sent to each unit since its lease row.
+
+    Parameters
+    ----------
+    source : random.Random
+        Draws the candidate units.
+    since_ms : dict of int to int
+        By unit, when the lease row was seen that the sums start from.
+    reserved, idle : dict of int to int
+        Millicores sent to each unit, to be reserved or for opportunistic
+        tasks.
+    images : dict of int to Counter
+        Opportunistic millicores sent to each unit, by image.
+    """
 
     source: random.Random
     since_ms: dict[int, int] = attrs.field(factory=dict)
@@ -53,7 +68,7 @@
     images: dict[int, collections.Counter[str]] = attrs.field(factory=dict)
 
     def refresh(self, number: int, seen_ms: int) -> None:
-        """Forget what a newer lease row counts already."""
+        """Reset a unit's sums if a newer lease row includes them."""
         if self.since_ms.get(number) != seen_ms:
             self.since_ms[number] = seen_ms
             self.reserved[number] = 0
@@ -61,7 +76,7 @@
             self.images[number] = collections.Counter()
 
     def add(self, number: int, request: JobRequest) -> None:
-        """Count a job that goes to a unit."""
+        """Add the demand of a job to a unit."""
         self.reserved[number] = self.reserved.get(number, 0) + _sum_cpu(
             request, is_idle=False
         )
@@ -69,12 +84,12 @@
             request, is_idle=True
         )
         images = self.images.setdefault(number, collections.Counter())
-        for step in _list_first(request, is_idle=True):
+        for step in _list_first_steps(request, is_idle=True):
             images[step.image] += _get_cpu(step)
 
 
-def _list_first(request: JobRequest, *, is_idle: bool) -> list[Step]:
-    """Return the steps of a sort that wait for no others."""
+def _list_first_steps(request: JobRequest, *, is_idle: bool) -> list[Step]:
+    """Return the steps without predecessors, opportunistic or others."""
     return [
         step
         for step in request.steps
@@ -87,7 +102,7 @@
 
 
 def _sum_cpu(request: JobRequest, *, is_idle: bool) -> int:
-    """Return the processors of the widest step of a sort."""
+    """Return the processors of the largest step, opportunistic or others."""
     return max(
         (
             _get_cpu(step)
@@ -105,7 +120,7 @@
     demands: Demands,
     now_ms: int,
 ) -> int:
-    """Return the number of the unit that is to keep a job.
+    """Return the number of the home unit for a new job.
 
     Parameters
     ----------
@@ -114,19 +129,21 @@
     units : mapping of int to UnitShell
         All units, with their newest lease rows.
     layout : LayoutRecord
-        The units' racks.
+        The racks of the units.
     demands : Demands
-        What was sent to units meanwhile; the job is added.
+        The demand sent to units since their lease rows; the job is added.
     now_ms : int
-        The instance's clock.
+        The time of the instance's clock.
     """
     numbers = _get_candidates(request, units, layout, now_ms)
     for number in numbers:
         demands.refresh(number, units[number].lease_seen_ms)
-    numbers = _keep_fitting(request, numbers, units, demands)
-    numbers = _keep_bearing(request, numbers, units, demands)
-    # In random order, so that of two alike not always the first is taken.
-    numbers = demands.source.sample(numbers, min(_CHOICES, len(numbers)))
+    numbers = _filter_fitting(request, numbers, units, demands)
+    numbers = _filter_least_waiting(request, numbers, units, demands)
+    # Sampling also shuffles, so that ties are broken at random.
+    numbers = demands.source.sample(
+        numbers, min(_CANDIDATE_COUNT, len(numbers))
+    )
     is_idle = all(step.opportunistic for step in request.steps)
     chosen = min(
         numbers,
@@ -142,70 +159,76 @@
     layout: LayoutRecord,
     now_ms: int,
 ) -> list[int]:
-    """Return the units that could run all steps, those with owners first."""
+    """Return the units to choose from.
+
+    A preferred rack decides alone. Otherwise these are the units that could
+    run all steps, limited to those with a live owner that has loaded its unit,
+    as far as there are any.
+    """
     numbers = sorted(units)
     for step in request.steps:
-        near = layout.racks.get(step.preferred_rack)
-        if near in numbers:
-            return [near]
-    able = [
+        rack_unit = layout.racks.get(step.preferred_rack)
+        if rack_unit in numbers:
+            return [rack_unit]
+    capable = [
         number
         for number in numbers
         if all(_could_run(step, units[number]) for step in request.steps)
     ]
-    fresh = [number for number in able if _is_fresh(units[number], now_ms)]
-    # An owner that still loads its unit starts nothing for a second or more,
-    # and one with no open worker would look the emptiest of all.
-    loaded = [number for number in fresh if _takes_jobs(units[number])]
-    return loaded or fresh or able or numbers
+    fresh = [number for number in capable if _is_fresh(units[number], now_ms)]
+    # An owner that is loading its unit starts nothing for a second or more,
+    # and a unit without available workers would appear to have the least load.
+    loaded = [number for number in fresh if _accepts_jobs(units[number])]
+    return loaded or fresh or capable or numbers
 
 
-def _takes_jobs(unit: UnitShell) -> bool:
-    """Whether a unit's owner has loaded it, and some worker is open."""
+def _accepts_jobs(unit: UnitShell) -> bool:
+    """Whether a unit is loaded and has available workers."""
     is_loading = unit.lease is None or unit.lease.is_loading
     return not is_loading and _get_room(unit).capacity_millicores > 0
 
 
 def _is_fresh(unit: UnitShell, now_ms: int) -> bool:
-    """Whether a unit's owner was alive a moment ago."""
-    return unit.is_owner or now_ms - unit.lease_seen_ms <= _FRESH_MS
+    """Whether a unit's lease is recent, or held by this instance."""
+    return unit.is_owner or now_ms - unit.lease_seen_ms <= _MAX_LEASE_AGE_MS
 
 
-def _keep_fitting(
+def _filter_fitting(
     request: JobRequest,
     numbers: list[int],
     units: t.Mapping[int, UnitShell],
     demands: Demands,
 ) -> list[int]:
-    """Return the units with places for most of the job's first steps.
+    """Return the units that fit most tasks of the job's first steps.
 
-    Where none has a place for all of their tasks, those are left that
-    have places for nearly as many as the best one.
+    If no unit fits all of them, those remain that fit nearly as large a share
+    as the best one.
     """
-    steps = _list_first(request, is_idle=False)
+    steps = _list_first_steps(request, is_idle=False)
     if not steps or len(numbers) <= 1:
         return numbers
     shares = {
         number: min(
-            _get_placed_share(step, units[number], demands) for step in steps
+            _get_fitting_share(step, units[number], demands) for step in steps
         )
         for number in numbers
     }
-    least = _NEARLY * max(shares.values())
-    fitting = [number for number in numbers if shares[number] >= least]
-    return _keep_alike(steps, fitting, units, demands)
+    min_share = _MIN_RELATIVE_SHARE * max(shares.values())
+    fitting = [number for number in numbers if shares[number] >= min_share]
+    return _filter_serving_images(steps, fitting, units, demands)
 
 
-def _keep_alike(
+def _filter_serving_images(
     steps: list[Step],
     numbers: list[int],
     units: t.Mapping[int, UnitShell],
     demands: Demands,
 ) -> list[int]:
-    """Return the units that serve a long-running job's image, if any.
+    """Return the units that already serve a long-running job's images.
 
-    The fewer images a unit serves, the fewer a worker does, and the more
-    may run beside them. One that is fuller than the mean is left alone.
+    The fewer images a unit serves, the fewer each worker does, and the more
+    opportunistic tasks may run next to them. Units with a load above the mean
+    are excluded. All units are returned if none qualifies.
     """
     images = {step.image for step in steps if step.long_running}
     if not images:
@@ -214,28 +237,31 @@
         number: _get_load(units[number], demands, is_idle=False)
         for number in numbers
     }
-    most = sum(loads.values()) / max(1, len(loads)) + _FULLER
-    alike = [
+    max_accepted = (
+        sum(loads.values()) / max(1, len(loads)) + _MAX_LOAD_ABOVE_MEAN
+    )
+    serving = [
         number
         for number in numbers
         if images <= set(_get_room(units[number]).images)
-        and loads[number] <= most
+        and loads[number] <= max_accepted
     ]
-    return alike or numbers
+    return serving or numbers
 
 
-def _keep_bearing(
+def _filter_least_waiting(
     request: JobRequest,
     numbers: list[int],
     units: t.Mapping[int, UnitShell],
     demands: Demands,
 ) -> list[int]:
-    """Return the units where least of the job's images waits.
+    """Return the units where the least opportunistic demand waits.
 
-    Those where no more waits than the job itself asks for count as alike:
-    rows are half a second old, and that much starts at once.
+    Only the images of the job count. Units within the job's own demand of the
+    minimum count as equal: lease rows are half a second old, and that much
+    starts at once.
     """
-    steps = _list_first(request, is_idle=True)
+    steps = _list_first_steps(request, is_idle=True)
     if not steps or len(numbers) <= 1:
         return numbers
     waiting = {
@@ -244,44 +270,49 @@
         )
         for number in numbers
     }
-    most = min(waiting.values()) + sum(_get_cpu(step) for step in steps)
-    return [number for number in numbers if waiting[number] <= most]
+    max_accepted = min(waiting.values()) + sum(_get_cpu(step) for step in steps)
+    return [number for number in numbers if waiting[number] <= max_accepted]
 
 
 def _get_waiting(step: Step, unit: UnitShell, demands: Demands) -> int:
-    """Return what of a step's image waits in a unit, or was sent there."""
+    """Return the demand for a step's image that waits in a unit or was sent."""
     sent = demands.images.get(unit.config.unit.number, {})
-    told = _get_room(unit).waiting_millicores
-    return told.get(step.image, 0) + sent.get(step.image, 0)
+    waiting_by_image = _get_room(unit).waiting_millicores
+    return waiting_by_image.get(step.image, 0) + sent.get(step.image, 0)
 
 
-def _get_placed_share(step: Step, unit: UnitShell, demands: Demands) -> float:
-    """Return the share of a step's tasks that find a place in a unit."""
+def _get_fitting_share(step: Step, unit: UnitShell, demands: Demands) -> float:
+    """Return the share of a step's tasks that fit in a unit."""
     size = max(1, step.reserved.cpu_millicores)
     sent = demands.reserved.get(unit.config.unit.number, 0) // size
-    found = _rooms.count_places(
+    found = _rooms.count_fitting(
         _get_room(unit), size, is_short=not step.long_running
     )
-    places = found - sent
-    return max(0, min(1, places / step.task_count))
+    fit_count = found - sent
+    return max(0, min(1, fit_count / step.task_count))
 
 
 def _get_room(unit: UnitShell) -> UnitRoom:
+    """Return the published capacity of a unit, empty if it has no lease."""
     return unit.lease.room if unit.lease else UnitRoom()
 
 
 def _could_run(step: Step, unit: UnitShell) -> bool:
+    """Whether a unit has workers with the label that a step requires."""
     return not step.required_label or (
         step.required_label in _get_room(unit).labels
     )
 
 
 def _get_load(unit: UnitShell, demands: Demands, *, is_idle: bool) -> float:
-    """Return what is asked of a unit beside what it holds."""
+    """Return the demand on a unit as a share of its capacity.
+
+    With ``is_idle``, the load is that of opportunistic tasks.
+    """
     number = unit.config.unit.number
     room = _get_room(unit)
-    asked = room.reserved_millicores + demands.reserved.get(number, 0)
+    demand = room.reserved_millicores + demands.reserved.get(number, 0)
     if is_idle:
-        asked = _IDLE_PART * asked + room.idle_millicores
-        asked += demands.idle.get(number, 0)
-    return asked / max(1, room.capacity_millicores)
+        demand = _IDLE_SHARE * demand + room.idle_millicores
+        demand += demands.idle.get(number, 0)
+    return demand / max(1, room.capacity_millicores)
--- a/src/tulippin/jobs/_demand.py
+++ b/src/tulippin/jobs/_demand.py
@@ -1,9 +1,10 @@
-"""What short tasks that reserve their processors ask for, over all units.
+"""Estimates the demand of short tasks over all units.
 
-Each owner counts what is asked of its unit and tells it with its room. All
-units together tell the demand of each: homes of jobs are drawn alike, and
-one unit sees few of them. An owner that has just taken its unit goes on from
-what the last one told.
+Short tasks are those that are neither long-running nor opportunistic. Each
+owner counts the demand of its unit and publishes it with the unit's capacity.
+The demand of a unit is estimated from all units together: jobs are spread over
+units at random, and one unit sees few of them. A new owner continues from what
+the previous one published.
 """
 
 from __future__ import annotations
@@ -19,26 +20,34 @@
 from tulippin.jobs.state import Job, SchedulerState, ShortDemand
 from tulippin.jobs.types import Queue, Step
 
-# Over how long what short jobs ask for is taken together.
-_MEMORY_MS: t.Final = 10_000
-# An owner that has counted for less than this does not extrapolate.
-_LEAST_PART: t.Final = 0.3
-# A task whose time nobody knows asks for its processors all the same.
-_UNKNOWN_RUN_MS: t.Final = 1000
-# The most that a lease's readers take for a figure.
-_MOST_TOLD: t.Final = 1e27
-# Less than this of the size's square is what rounding leaves.
-_LEAST_SPREAD: t.Final = 1e-4
+# Time constant of the moving sums.
+_DECAY_MS: t.Final = 10_000
+# Lower limit of the counted share of the time constant, by which a new owner
+# extrapolates.
+_MIN_COVERED_SHARE: t.Final = 0.3
+# Assumed run time where neither runs nor an estimate tell one.
+_DEFAULT_RUN_MS: t.Final = 1000
+# Upper limit of a figure that readers of a lease accept.
+_MAX_FIGURE: t.Final = 1e27
+# A variance of sizes below this share of the squared size is rounding error.
+_MIN_RELATIVE_VARIANCE: t.Final = 1e-4
 
 
 @attrs.frozen
 class Demand:
-    """What short tasks ask for at once.
+    """The concurrent demand of short tasks.
 
-    ``place_millicores`` is the size of a task, ``piece_millicores`` one that
-    most tasks fit in, both weighted by work; 0 if nothing is known. ``count``
-    tells on how many steps of late this is based, and ``place_memory_mb`` what
-    memory a task takes.
+    Parameters
+    ----------
+    mean_millicores, variance : float
+        The mean and variance of the processors asked for at the same time.
+    place_millicores, piece_millicores : int
+        The mean size of a task, and a size that most tasks fit in, both
+        weighted by work; 0 if unknown.
+    count : float
+        The number of recent steps that the estimate is based on.
+    place_memory_mb : int
+        The mean memory of a task.
     """
 
     mean_millicores: float = 0.0
@@ -52,7 +61,7 @@
 def note_step(
     job: Job, step: Step, task_count: int, state: SchedulerState
 ) -> None:
-    """Count what a step asks for whose turn has come."""
+    """Count the demand of a step that has become ready."""
     queue = job.queue
     is_short = not (step.long_running or step.opportunistic)
     kinds = state.queue_kinds.get(queue.name, QueueKinds())
@@ -65,13 +74,13 @@
     run_ms = (
         state.run_times_ms.get(queue.name, 0.0)
         or step.estimated_ms
-        or _UNKNOWN_RUN_MS
+        or _DEFAULT_RUN_MS
     )
     asked = task_count * cpu_millicores
     known = state.short_demands.setdefault(
         (queue.service, queue.priority), ShortDemand()
     )
-    part = _get_part(known, state)
+    part = _get_decay(known, state)
     known.noted_ms = state.now_ms
     known.count = known.count * part + 1
     known.work = known.work * part + asked * run_ms
@@ -81,9 +90,9 @@
     known.memory = known.memory * part + asked * run_ms * step.size.memory_mb
 
 
-def _get_part(known: ShortDemand, state: SchedulerState) -> float:
-    """Return which part of a demand still counts."""
-    return math.exp((known.noted_ms - state.now_ms) / _MEMORY_MS)
+def _get_decay(known: ShortDemand, state: SchedulerState) -> float:
+    """Return the decay factor of a demand since its last update."""
+    return math.exp((known.noted_ms - state.now_ms) / _DECAY_MS)
 
 
 def _list_queues(state: SchedulerState) -> tuple[Queue, ...]:
@@ -91,34 +100,45 @@
 
 
 def _find_kinds(queue: Queue, state: SchedulerState) -> QueueKinds | None:
-    """Return what has come by a queue here and elsewhere, if anything."""
-    told = [
+    """Return the kinds of tasks seen in a queue by any unit, or None."""
+    reported_kinds = [
         room.queue_kinds[queue.name]
         for room in state.rooms.values()
         if queue.name in room.queue_kinds
     ]
     own = state.queue_kinds.get(queue.name)
     if own is not None:
-        told.append(own)
-    return functools.reduce(QueueKinds.join, told) if told else None
+        reported_kinds.append(own)
+    return (
+        functools.reduce(QueueKinds.join, reported_kinds)
+        if reported_kinds
+        else None
+    )
 
 
 def get_least_urgent(state: SchedulerState) -> int:
-    """Return the priority of the least urgent long-running tasks."""
+    """Return the priority of the least urgent queue with long-running tasks.
+
+    Until a long-running task was seen, all known priorities count.
+    """
     queues = _list_queues(state)
-    bringing = [
+    long_running_priorities = [
         queue.priority
         for queue in queues
         if (_find_kinds(queue, state) or QueueKinds()).long_running
     ]
-    asking = [priority for _, priority in state.short_demands]
-    return max(bringing or (*asking, *(one.priority for one in queues), 0))
+    short_priorities = [priority for _, priority in state.short_demands]
+    return max(
+        long_running_priorities
+        or (*short_priorities, *(one.priority for one in queues), 0)
+    )
 
 
 def may_show(service: str, priority: int, state: SchedulerState) -> bool:
-    """Whether short tasks may come of which nothing is known.
+    """Whether short tasks of a service may arrive that are not yet counted.
 
-    A queue by which only other work came is not expected to bring any.
+    Queues in which only other kinds of tasks were seen are not expected to
+    bring short ones.
     """
     return any(
         queue.service == service
@@ -131,18 +151,18 @@
 def estimate(
     service: str, priority: int, capacity_millicores: int, state: SchedulerState
 ) -> Demand:
-    """Return the unit's part of the demand that is so urgent, or more.
+    """Return this unit's share of the demand of all units.
 
     Parameters
     ----------
     service : str
-        Whose workers the tasks would run on.
+        The service whose workers the tasks run on.
     priority : int
-        Less urgent tasks do not count.
+        Only tasks that are as urgent or more count.
     capacity_millicores : int
-        Processors of the service in the unit; its part is by them.
+        Processors of the service in this unit, by which its share is computed.
     state : SchedulerState
-        Tells what is known here, and of other units.
+        Holds this unit's demand and the summaries of the other units.
     """
     records = list_records(state)
     capacity = capacity_millicores
@@ -161,31 +181,35 @@
     size = min(
         sum(one.squares for one in asked) / mean, float(capacity_millicores)
     )
-    spread = sum(one.cubes for one in asked) / mean - size**2
-    deviation = math.sqrt(spread) if spread > _LEAST_SPREAD * size**2 else 0.0
+    size_variance = sum(one.cubes for one in asked) / mean - size**2
+    deviation = (
+        math.sqrt(size_variance)
+        if size_variance > _MIN_RELATIVE_VARIANCE * size**2
+        else 0.0
+    )
     return Demand(
         part * mean,
         part * sum(one.variance for one in asked),
         round(size),
         round(min(size + deviation, capacity_millicores)),
         sum(one.count for one in asked),
-        round(min(_MOST_TOLD, sum(one.memory for one in asked) / mean)),
+        round(min(_MAX_FIGURE, sum(one.memory for one in asked) / mean)),
     )
 
 
 def list_records(state: SchedulerState) -> list[DemandRecord]:
-    """Return what is known here of short tasks, as it is told to others."""
-    seen = _get_seen_part(state)
+    """Return the demand of this unit, as it is published to other units."""
+    covered_share = _get_covered_share(state)
     found = []
     for (service, priority), known in state.short_demands.items():
-        part = _get_part(known, state)
-        rate = part / (seen * _MEMORY_MS)
+        part = _get_decay(known, state)
+        rate = part / (covered_share * _DECAY_MS)
         found.append(
             DemandRecord(
                 service,
                 priority,
                 *(
-                    round_figure(min(_MOST_TOLD, figure))
+                    round_figure(min(_MAX_FIGURE, figure))
                     for figure in (
                         known.work * rate,
                         known.squares * rate,
@@ -200,18 +224,19 @@
     return found
 
 
-def _get_seen_part(state: SchedulerState) -> float:
-    """Return how much of the memory's time the owner has watched."""
+def _get_covered_share(state: SchedulerState) -> float:
+    """Return the share of the time constant that the sums cover."""
     if state.is_demand_told:
         return 1.0
     watched_ms = state.now_ms - state.ownership.taken_ms
-    return max(_LEAST_PART, 1 - math.exp(-watched_ms / _MEMORY_MS))
+    return max(_MIN_COVERED_SHARE, 1 - math.exp(-watched_ms / _DECAY_MS))
 
 
 def take_over(state: SchedulerState) -> None:
-    """Go on from what the unit's last owner told, once its jobs are loaded.
+    """Restore the demand that the previous owner of the unit published.
 
-    What that one counted of them is not counted anew.
+    Called once the unit's jobs are loaded, so that the demand counted while
+    loading them is replaced and doesn't count twice.
     """
     lease = state.ownership.lease
     if lease is None or state.is_without_advice:
@@ -224,10 +249,10 @@
     for one in room.demands:
         state.short_demands[one.service, one.priority] = ShortDemand(
             one.count,
-            one.mean_millicores * _MEMORY_MS,
-            one.squares * _MEMORY_MS,
-            one.cubes * _MEMORY_MS,
-            one.variance * _MEMORY_MS,
-            one.memory * _MEMORY_MS,
+            one.mean_millicores * _DECAY_MS,
+            one.squares * _DECAY_MS,
+            one.cubes * _DECAY_MS,
+            one.variance * _DECAY_MS,
+            one.memory * _DECAY_MS,
             state.now_ms,
         )
--- a/src/tulippin/jobs/_evening.py
+++ b/src/tulippin/jobs/_evening.py
@@ -1,15 +1,14 @@
-"""How many long-running tasks a unit gives to emptier ones.
-
-Long-running work is handed in by many callers at once, each of whose
-instances knows only what owners told up to a second ago: a dozen units got
-between half and twice the mean. Nothing evens that out later, as such
-tasks stay for minutes, and urgent tasks then find no place for good in the
-units that got most: 25 of 192 urgent jobs never began on a quiet day of
-446 workers, 23 of them in the seven fullest of 16 units.
-
-So a unit that looks fuller than the others keeps its new long-running
-tasks for a moment, until the others' rooms tell of what came meanwhile,
-and passes on what it has too much.
+"""Rebalances new long-running steps over the units.
+
+Many callers submit long-running work at the same time through instances that
+know the load of units with a delay of up to a second, so that of a dozen units
+some received half and some twice the mean. The imbalance persists, as such
+tasks run for minutes, and urgent tasks find no capacity in the fullest units:
+25 of 192 urgent jobs never began in a lightly loaded deployment of 446
+workers, 23 of them in the seven fullest of 16 units.
+
+So a unit above the mean load holds back its new long-running tasks until the
+other units have published their current load, and transfers its surplus.
 """
 
 from __future__ import annotations
@@ -26,66 +25,77 @@
 from tulippin.jobs.state import Job, SchedulerState
 from tulippin.jobs.types import Step
 
-# Owners tell their rooms every 0.5 s, and read the others' 0.45 s apart.
-_ROOMS_TOLD_MS: t.Final = 1000
-# A tick later what is too much has been passed on; if not, it stays.
-_KEPT_MS: t.Final = 1500
-# How much fuller than the mean a unit may be: a job of the users' sheets
-# fills a unit by 0.06 to 0.11, and passing on costs two transactions.
-_MARGIN: t.Final = 0.06
-# Half a step more or less is as near to the mean as whole steps come.
-_LEAST_PART: t.Final = 0.5
+# Delay until the load that arrived together with a job is known: owners publish
+# it every 0.5 s, and read that of others every 0.45 s.
+_LOAD_DELAY_MS: t.Final = 1000
+# By this age of a job its surplus has been transferred; otherwise it stays.
+_MAX_HOLD_MS: t.Final = 1500
+# Load above the mean that is tolerated: a typical job adds 0.06 to 0.11 to the
+# load of a unit, and a transfer costs two transactions.
+_LOAD_MARGIN: t.Final = 0.06
+# A transfer brings both units closer to the mean only if at least this part of
+# the step is surplus here and missing there.
+_MIN_STEP_PART: t.Final = 0.5
 _RANDOM_RANGE: t.Final = 0xFFFFFFFF
 
 
 @attrs.frozen
 class _Balance:
-    """A unit's room beside the mean of all, in millicores.
-
-    ``surplus`` is what it has too much, ``deficits`` what each of the
-    emptier units lacks of the mean.
+    """The load of this unit relative to the mean of all units.
+
+    Parameters
+    ----------
+    surplus : float
+        Millicores above the tolerated load; negative if below.
+    deficits : dict of int to float
+        Millicores that each unit below the mean lacks.
     """
 
     surplus: float
     deficits: dict[int, float]
 
 
-def list_held(state: SchedulerState) -> frozenset[StepKey]:
-    """Return the steps that wait to be passed on, if the unit is too full."""
-    held = frozenset(kind for kind in state.ready if _is_new(kind, state))
-    if held and _weigh(state).surplus > 0:
-        return held
+def list_held_steps(state: SchedulerState) -> frozenset[StepKey]:
+    """Return the new steps that are held back while the unit is too full."""
+    held_steps = frozenset(
+        step_key for step_key in state.ready if _is_new(step_key, state)
+    )
+    if held_steps and _compute_balance(state).surplus > 0:
+        return held_steps
     return frozenset()
 
 
-def _is_new(kind: StepKey, state: SchedulerState) -> bool:
-    """Whether a step's tasks may yet be passed on to even units out."""
-    job = state.jobs[kind[0]]
-    is_young = state.now_ms - job.known_ms < _KEPT_MS
-    return is_young and _may_leave(job, job.request.steps[kind[2]], state)
+def _is_new(step_key: StepKey, state: SchedulerState) -> bool:
+    """Whether a step is recent enough to be transferred for rebalancing."""
+    job = state.jobs[step_key[0]]
+    is_recent = state.now_ms - job.known_ms < _MAX_HOLD_MS
+    return is_recent and _may_transfer(
+        job, job.request.steps[step_key[2]], state
+    )
 
 
 def choose_units(state: SchedulerState) -> dict[StepKey, int]:
-    """Return the waiting steps that leave, each with the unit it goes to.
+    """Return the steps to transfer, each with the unit that receives it.
 
-    A step leaves whole: in pieces its image would be served in many units,
-    beside more others, and what disturbs any of them finds no place. Each
-    goes to a unit drawn by what the emptier ones lack: if all went to the
-    emptiest, several owners would fill it in the same moment.
+    A step is transferred as a whole: split up, its image would be served in
+    many units next to more other images, and opportunistic tasks that disturb
+    any of them would find no worker. The unit is drawn with probabilities in
+    proportion to the deficits: if all went to the emptiest unit, several
+    owners would fill it at the same time.
     """
     due = _list_due(state)
     if not due:
         return {}
-    balance = _weigh(state)
+    balance = _compute_balance(state)
     deficits = dict(balance.deficits)
     surplus = balance.surplus
     chosen = {}
-    for kind, step, size in due:
-        if surplus < _LEAST_PART * size:
+    for step_key, step, size in due:
+        if surplus < _MIN_STEP_PART * size:
             continue
-        unit = _draw(deficits, kind, size, step, state)
+        unit = _draw_unit(deficits, step_key, size, step, state)
         if unit is not None:
-            chosen[kind] = unit
+            chosen[step_key] = unit
             deficits[unit] -= size
             surplus -= size
     return chosen
@@ -94,27 +104,28 @@
 def _list_due(
     state: SchedulerState,
 ) -> list[tuple[StepKey, Step, int]]:
-    """Return waiting steps with their processors, the lonely ones first.
+    """Return steps that may be transferred now, with their processors.
 
-    Those whose image the unit serves least lose nothing by going.
+    Steps whose image the unit serves least come first, as they gain least from
+    staying.
     """
     found = []
-    for kind, tasks in state.ready.items():
-        job = state.jobs[kind[0]]
-        step = job.request.steps[kind[2]]
-        is_told = state.now_ms - job.known_ms >= _ROOMS_TOLD_MS
-        if not (is_told and _may_leave(job, step, state)):
+    for step_key, tasks in state.ready.items():
+        job = state.jobs[step_key[0]]
+        step = job.request.steps[step_key[2]]
+        is_load_known = state.now_ms - job.known_ms >= _LOAD_DELAY_MS
+        if not (is_load_known and _may_transfer(job, step, state)):
             continue
         if not any(task.has_run or task.attempts for task in tasks.values()):
             size = len(tasks) * step.size.cpu_millicores
-            found.append((kind, step, size))
+            found.append((step_key, step, size))
     served = _count_images(state) if len(found) > 1 else {}
     found.sort(key=lambda one: (served.get(one[1].image, 0), one[0]))
     return found
 
 
 def _count_images(state: SchedulerState) -> collections.Counter[str]:
-    """Return how many tasks of each image the unit serves."""
+    """Return the number of serving tasks in the unit by image."""
     return collections.Counter(
         attempt.step.image
         for worker in state.workers.values()
@@ -122,10 +133,10 @@
     )
 
 
-def _may_leave(job: Job, step: Step, state: SchedulerState) -> bool:
-    """Whether a job's tasks may go elsewhere before their first run.
+def _may_transfer(job: Job, step: Step, state: SchedulerState) -> bool:
+    """Whether a step's tasks may be transferred before their first run.
 
-    Those that were passed on once stay: they would wander.
+    Tasks that were transferred before stay, so that they don't move around.
     """
     if not step.long_running or step.gang or not state.rooms:
         return False
@@ -134,13 +145,14 @@
     return not (job.is_guest or job.is_resumed)
 
 
-def _weigh(state: SchedulerState) -> _Balance:
-    own = _rooms.measure_asked(state)
-    rooms = [own, *state.rooms.values()]
+def _compute_balance(state: SchedulerState) -> _Balance:
+    """Compare the load of this unit with the mean of all units."""
+    own_load = _rooms.measure_load(state)
+    rooms = [own_load, *state.rooms.values()]
     capacity = sum(room.capacity_millicores for room in rooms)
     mean = sum(room.reserved_millicores for room in rooms) / max(1, capacity)
     return _Balance(
-        _get_excess(own, mean + _MARGIN),
+        _get_excess(own_load, mean + _LOAD_MARGIN),
         {
             number: -_get_excess(room, mean)
             for number, room in state.rooms.items()
@@ -149,38 +161,39 @@
     )
 
 
-def _get_excess(room: UnitRoom, fullness: float) -> float:
-    """Return by how much a unit is fuller than so, in millicores."""
-    return room.reserved_millicores - fullness * room.capacity_millicores
+def _get_excess(room: UnitRoom, load: float) -> float:
+    """Return the millicores reserved above a load; negative if below."""
+    return room.reserved_millicores - load * room.capacity_millicores
 
 
-def _draw(
+def _draw_unit(
     deficits: dict[int, float],
-    kind: StepKey,
+    step_key: StepKey,
     size: int,
     step: Step,
     state: SchedulerState,
 ) -> int | None:
-    """Return a unit that lacks a step's size, by the step's name.
+    """Return a unit with a deficit for a step, or None.
 
-    One that serves the step's image already is preferred.
+    The draw is deterministic for a step key. Units that already serve the
+    step's image are preferred.
     """
-    able = [
+    capable = [
         number
-        for number, lacking in deficits.items()
-        if lacking >= _LEAST_PART * size
+        for number, deficit in deficits.items()
+        if deficit >= _MIN_STEP_PART * size
         and _rooms.has_place(state.rooms[number], step, is_new=True)
     ]
-    alike = [
-        number for number in able if step.image in state.rooms[number].images
+    serving_units = [
+        number for number in capable if step.image in state.rooms[number].images
     ]
-    able = alike or able
-    if not able:
+    capable = serving_units or capable
+    if not capable:
         return None
-    drawn = zlib.crc32(repr(kind).encode()) / _RANDOM_RANGE
-    left = drawn * sum(deficits[number] for number in able)
-    for number in able:
-        left -= deficits[number]
-        if left <= 0:
+    drawn = zlib.crc32(repr(step_key).encode()) / _RANDOM_RANGE
+    remaining = drawn * sum(deficits[number] for number in capable)
+    for number in capable:
+        remaining -= deficits[number]
+        if remaining <= 0:
             return number
-    return able[-1]
+    return capable[-1]
--- a/src/tulippin/jobs/_headroom.py
+++ b/src/tulippin/jobs/_headroom.py
@@ -1,17 +1,18 @@
-"""Headroom: processors that new long-running tasks leave to short ones.
+"""Headroom: processors that new long-running tasks leave for short ones.
 
-Short tasks come in bursts and are over within seconds; a long-running task
-keeps its place for minutes. So a new one is started only where enough room
-for short tasks remains after it, in pieces of the size that they ask for.
+Short tasks arrive in bursts and end within seconds; a long-running task holds
+its capacity for minutes. So a new long-running task is started only where
+enough capacity for short tasks remains, in pieces of the size that they ask
+for.
 
-Who gives way where not all kinds find room, first to last: opportunistic
-tasks, long-running tasks that have never run, long-running tasks that were
-at work, short tasks. A task that was at work before takes any room: its
-users miss it.
+Where capacity is scarce, tasks give way in this order: opportunistic tasks,
+long-running tasks that have never run, long-running tasks that ran before,
+short tasks. A task that ran before needs to leave no headroom, as its users
+have lost a service that they had.
 
-What short tasks ask for is known as a mean and a variance, over all units
-together: one unit alone sees few bursts, and a new owner none. As long as
-that is not known a part of the processors is kept all the same.
+The demand of short tasks is known as a mean and a variance over all units
+together: a single unit sees few bursts, and a new owner none. Until the demand
+is known, a fixed share of the processors is kept.
 """
 
 from __future__ import annotations
@@ -28,43 +29,48 @@
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
 
-# By how many standard deviations the headroom exceeds the mean demand.
-_DEVIATIONS: t.Final = 1.0
-# The most of all processors that are kept: after a crowd of short jobs the
-# demand is overrated for a while.
-_MOST_SHARE: t.Final = 0.25
-# What is kept of the processors, as whole workers, while it is not known
-# whether short tasks come.
-_UNKNOWN_SHARE: t.Final = 0.25
-# Where less than this is reserved nothing is held back.
-_ROOMY_SHARE: t.Final = 0.5
-# Between two looks at how much is reserved.
-_LOOK_EVERY_MS: t.Final = 500
-# For how long a measure of the largest piece stands: looking at all runs in
-# each pass takes a fifth of an owner's time.
-_LARGEST_KEPT_MS: t.Final = 100
-# How fast that is given up while none come, and how many steps of short
-# tasks tell enough of the demand to go by that alone.
-_UNKNOWN_FADE_MS: t.Final = 60_000
-_KNOWN_STEPS: t.Final = 20
+# Standard deviations by which the headroom exceeds the mean demand.
+_DEMAND_DEVIATIONS: t.Final = 1.0
+# Maximum share of all processors that is kept: after a burst of short jobs the
+# demand is overestimated for a while.
+_MAX_KEPT_SHARE: t.Final = 0.25
+# Share of the processors that is kept, as whole workers, while it is unknown
+# whether short tasks arrive.
+_UNKNOWN_DEMAND_SHARE: t.Final = 0.25
+# No headroom is kept while less than this share is reserved.
+_UNCROWDED_SHARE: t.Final = 0.5
+# Interval between two checks of the reserved share.
+_CHECK_INTERVAL_MS: t.Final = 500
+# Lifetime of a cached largest piece: scanning all runs in each pass takes a
+# fifth of an owner's time.
+_LARGEST_CACHE_MS: t.Final = 100
+# Time constant at which the share for unknown demand decays while no short
+# tasks arrive, and the number of short steps after which only the estimated
+# demand counts.
+_UNKNOWN_DECAY_MS: t.Final = 60_000
+_MIN_KNOWN_STEPS: t.Final = 20
 
 
 @attrs.frozen
 class Headroom:
-    """Tells how much of a worker a new long-running task may take.
+    """How much of a worker a new long-running task may use.
+
+    A place is the capacity for one short task.
 
     Parameters
     ----------
     place_millicores, piece_millicores : int
-        The size of a place for a short task, and of a piece that is large
-        enough for most of them; in smaller ones there are no places.
+        The size of a typical short task, and the minimum size of a free piece
+        that fits most of them; smaller pieces count as no place.
     kept_places, found_places : int
-        How many are kept, and how many long-running tasks leave.
+        The number of places to keep, and the number that long-running tasks
+        leave now.
     is_scarce : bool
-        So little is left that no piece of it is given away: what is freed
-        piece by piece becomes a place only if nobody takes it before.
+        Whether so little is free that new long-running tasks get nothing:
+        capacity that is freed in small pieces adds up to a place only if no
+        other task takes it first.
     place_memory_mb : int
-        The memory of a place.
+        The memory of a typical short task.
     """
 
     place_millicores: int
@@ -75,37 +81,41 @@
     place_memory_mb: int = 0
 
     def admits(self, worker: Worker, step: Step) -> bool:
-        """Whether enough room remains if a task starts on a worker."""
+        """Whether enough headroom remains if a task starts on a worker."""
         if step.size.cpu_millicores > self.get_largest(worker):
             return False
         if worker.entry.capacity.cpu_millicores < self.piece_millicores:
             return True
-        left = _get_hole_memory(worker) - step.size.memory_mb
-        return left >= self._count_kept(worker) * self.place_memory_mb
+        remaining_mb = _get_unoccupied_memory(worker) - step.size.memory_mb
+        return remaining_mb >= self._count_kept(worker) * self.place_memory_mb
 
     def get_largest(self, worker: Worker) -> int:
-        """Return the most processors that a task may take of a worker."""
-        hole = get_hole(worker)
+        """Return the maximum of processors that a task may use of a worker."""
+        unoccupied = get_unoccupied(worker)
         if worker.entry.capacity.cpu_millicores < self.piece_millicores:
-            return hole
+            return unoccupied
         if self.is_scarce:
             return 0
         kept = self._count_kept(worker)
         if not kept:
-            return hole
-        return hole - max(kept * self.place_millicores, self.piece_millicores)
+            return unoccupied
+        return unoccupied - max(
+            kept * self.place_millicores, self.piece_millicores
+        )
 
     def _count_kept(self, worker: Worker) -> int:
-        """Return how many places of a worker can't be spared."""
-        spare = max(0, self.found_places - self.kept_places)
-        return max(0, self.count_places(worker) - spare)
+        """Return how many places of a worker have to be kept."""
+        spare_places = max(0, self.found_places - self.kept_places)
+        return max(0, self.count_places(worker) - spare_places)
 
     def count_places(self, worker: Worker) -> int:
-        """Return how many places long-running tasks leave on a worker."""
-        return self.count_fitting(get_hole(worker), _get_hole_memory(worker))
+        """Return how many short tasks fit if only long-running ones run."""
+        return self.count_fitting(
+            get_unoccupied(worker), _get_unoccupied_memory(worker)
+        )
 
     def count_fitting(self, cpu_millicores: int, memory_mb: int) -> int:
-        """Return how many places there are in one piece."""
+        """Return how many short tasks fit in one free piece."""
         if cpu_millicores < self.piece_millicores:
             return 0
         places = cpu_millicores // self.place_millicores
@@ -115,9 +125,10 @@
 
 
 def leaves_headroom(job: Job, task: Task, step: Step) -> bool:
-    """Whether a task may be started only where room for others remains."""
+    """Whether a task may be started only where headroom remains."""
     if not step.long_running or step.opportunistic or step.gang:
-        # A gang's members would each be weighed beside the others.
+        # The members of a gang are placed together, so the headroom can't be
+        # checked for each alone.
         return False
     return not _ready.is_back(job, task)
 
@@ -125,43 +136,43 @@
 def find_headroom(
     job: Job, task: Task, step: Step, state: SchedulerState
 ) -> Headroom | None:
-    """Return what a task has to leave free; nothing if it may take any."""
+    """Return the headroom that a task has to leave, if any."""
     if not leaves_headroom(job, task, step):
         return None
-    if _is_bound(step, state) and _are_all_roomy(state):
+    if _is_bound_to_unit(step, state) and _are_all_uncrowded(state):
         return None
     return _measure(job.queue.service, job.queue.priority, state)
 
 
-def _is_bound(step: Step, state: SchedulerState) -> bool:
-    """Whether no other unit could run a step's tasks."""
+def _is_bound_to_unit(step: Step, state: SchedulerState) -> bool:
+    """Whether no other unit has workers with the label a step requires."""
     label = step.required_label
     return bool(label) and not any(
         label in room.labels for room in state.rooms.values()
     )
 
 
-def _are_all_roomy(state: SchedulerState) -> bool:
-    """Whether all units together have less than half reserved."""
-    opened = _feasibility.list_open(state)
-    capacity = sum(one.entry.capacity.cpu_millicores for one in opened)
-    reserved = sum(one.reserved.cpu_millicores for one in opened)
+def _are_all_uncrowded(state: SchedulerState) -> bool:
+    """Whether less than half of the processors of all units is reserved."""
+    workers = _feasibility.list_available(state)
+    capacity = sum(one.entry.capacity.cpu_millicores for one in workers)
+    reserved = sum(one.reserved.cpu_millicores for one in workers)
     for room in state.rooms.values():
         capacity += room.capacity_millicores
         reserved += room.reserved_millicores
-    return reserved < _ROOMY_SHARE * capacity
+    return reserved < _UNCROWDED_SHARE * capacity
 
 
 def get_largest(
     service: str, priority: int, state: SchedulerState
 ) -> int | None:
-    """Return the most processors that a new task may take of any worker.
+    """Return the maximum of processors that a new task may use of any worker.
 
-    Nothing if no room is kept from long-running tasks of the priority. The
-    figure is up to 0.1 s old.
+    None if no headroom is kept from long-running tasks of the priority. The
+    result is cached for 0.1 s.
     """
     known = state.largest_new.get((service, priority))
-    if known is not None and state.now_ms - known[0] < _LARGEST_KEPT_MS:
+    if known is not None and state.now_ms - known[0] < _LARGEST_CACHE_MS:
         return known[1]
     largest = _find_largest(service, priority, state)
     state.largest_new[service, priority] = state.now_ms, largest
@@ -171,22 +182,24 @@
 def _find_largest(
     service: str, priority: int, state: SchedulerState
 ) -> int | None:
+    """Return the uncached result of ``get_largest``."""
     headroom = _measure(service, priority, state)
     if headroom is None:
         return None
     return max(
         headroom.get_largest(worker)
-        for worker in _feasibility.list_open(state)
+        for worker in _feasibility.list_available(state)
         if worker.entry.service == service
     )
 
 
-def get_largest_new(opened: list[Worker], state: SchedulerState) -> int | None:
-    """Return the most processors that a new long-running task may take.
+def get_largest_new(workers: list[Worker], state: SchedulerState) -> int | None:
+    """Return the maximum of processors that a new long-running task may use.
 
-    Nothing if no room is kept.
+    It is computed for the least urgent long-running tasks, over all services.
+    None if no headroom is kept.
     """
-    services = {worker.entry.service for worker in opened}
+    services = {worker.entry.service for worker in workers}
     found = {
         service: _measure(service, _demand.get_least_urgent(state), state)
         for service in services
@@ -194,12 +207,13 @@
     if not any(found.values()):
         return None
     return max(
-        (_get_room(one, found[one.entry.service]) for one in opened),
+        (_get_usable(one, found[one.entry.service]) for one in workers),
         default=0,
     )
 
 
-def _get_room(worker: Worker, headroom: Headroom | None) -> int:
+def _get_usable(worker: Worker, headroom: Headroom | None) -> int:
+    """Return the processors of a worker that a new task may use."""
     free = worker.free.cpu_millicores
     return min(free, headroom.get_largest(worker)) if headroom else free
 
@@ -207,108 +221,115 @@
 def _measure(
     service: str, priority: int, state: SchedulerState
 ) -> Headroom | None:
-    """Return what new long-running tasks of a priority have to leave free.
+    """Return the headroom for new long-running tasks of a priority.
 
-    Nothing is kept for jobs that are less urgent.
+    It covers short tasks that are as urgent or more. None if no headroom has
+    to be kept.
     """
-    opened = [
+    workers = [
         worker
-        for worker in _feasibility.list_open(state)
+        for worker in _feasibility.list_available(state)
         if worker.entry.service == service
     ]
-    capacity = sum(one.entry.capacity.cpu_millicores for one in opened)
-    if not capacity or _is_roomy(opened):
+    capacity = sum(one.entry.capacity.cpu_millicores for one in workers)
+    if not capacity or _is_uncrowded(workers):
         return None
     demand = _demand.estimate(service, priority, capacity, state)
     wanted = min(
-        _get_wanted(service, priority, demand, opened, state),
-        _MOST_SHARE * capacity,
+        _get_kept_millicores(service, priority, demand, workers, state),
+        _MAX_KEPT_SHARE * capacity,
     )
-    bare = _make_bare(demand, opened)
-    if not (wanted and bare.place_millicores):
+    empty = _make_empty(demand, workers)
+    if not (wanted and empty.place_millicores):
         return None
-    holes = [get_hole(one) for one in opened]
-    most = _MOST_SHARE * sum(
-        bare.count_fitting(
+    unoccupied_pieces = [get_unoccupied(one) for one in workers]
+    max_kept = _MAX_KEPT_SHARE * sum(
+        empty.count_fitting(
             one.entry.capacity.cpu_millicores, one.entry.capacity.memory_mb
         )
-        for one in opened
+        for one in workers
+    )
+    kept = round(min(wanted / empty.place_millicores, max_kept))
+    found = sum(map(empty.count_places, workers))
+    is_scarce = (
+        found < kept and sum(unoccupied_pieces) < _MAX_KEPT_SHARE * capacity
     )
-    kept = round(min(wanted / bare.place_millicores, most))
-    found = sum(map(bare.count_places, opened))
-    is_scarce = found < kept and sum(holes) < _MOST_SHARE * capacity
     return attrs.evolve(
-        bare, kept_places=kept, found_places=found, is_scarce=is_scarce
+        empty, kept_places=kept, found_places=found, is_scarce=is_scarce
     )
 
 
-def _is_roomy(opened: list[Worker]) -> bool:
-    """Whether less than half of processors and memory are reserved."""
-    cpu_millicores = sum(one.entry.capacity.cpu_millicores for one in opened)
-    reserved = sum(one.reserved.cpu_millicores for one in opened)
-    memory_mb = sum(one.entry.capacity.memory_mb for one in opened)
-    free_mb = sum(map(_get_hole_memory, opened))
+def _is_uncrowded(workers: list[Worker]) -> bool:
+    """Whether at most half of the processors and memory is reserved."""
+    cpu_millicores = sum(one.entry.capacity.cpu_millicores for one in workers)
+    reserved = sum(one.reserved.cpu_millicores for one in workers)
+    memory_mb = sum(one.entry.capacity.memory_mb for one in workers)
+    free_mb = sum(map(_get_unoccupied_memory, workers))
     return (
-        reserved < _ROOMY_SHARE * cpu_millicores
-        and memory_mb - free_mb <= _ROOMY_SHARE * memory_mb
+        reserved < _UNCROWDED_SHARE * cpu_millicores
+        and memory_mb - free_mb <= _UNCROWDED_SHARE * memory_mb
     )
 
 
-def _make_bare(demand: _demand.Demand, opened: list[Worker]) -> Headroom:
-    """Return what a place is, without any."""
-    sizes = [one.entry.capacity.cpu_millicores for one in opened]
-    usual = statistics.median_low(sizes)
+def _make_empty(demand: _demand.Demand, workers: list[Worker]) -> Headroom:
+    """Return a headroom with the sizes of places, but none kept or found."""
+    sizes = [one.entry.capacity.cpu_millicores for one in workers]
+    median_size = statistics.median_low(sizes)
     largest = max(sizes)
     return Headroom(
-        min(demand.place_millicores or usual, largest),
-        min(demand.piece_millicores or usual, largest),
+        min(demand.place_millicores or median_size, largest),
+        min(demand.piece_millicores or median_size, largest),
         kept_places=0,
         found_places=0,
         place_memory_mb=demand.place_memory_mb,
     )
 
 
-def _get_wanted(
+def _get_kept_millicores(
     service: str,
     priority: int,
     demand: _demand.Demand,
-    opened: list[Worker],
+    workers: list[Worker],
     state: SchedulerState,
 ) -> float:
-    """Return how many processors short tasks are to find."""
-    known = demand.mean_millicores + _DEVIATIONS * math.sqrt(demand.variance)
+    """Return the processors to keep for short tasks."""
+    known = demand.mean_millicores + _DEMAND_DEVIATIONS * math.sqrt(
+        demand.variance
+    )
     unknown = _get_unknown_share(service, priority, state) * sum(
-        one.entry.capacity.cpu_millicores for one in opened
+        one.entry.capacity.cpu_millicores for one in workers
+    )
+    unknown *= max(0.0, 1 - demand.count / _MIN_KNOWN_STEPS)
+    return max(
+        known, unknown, _sum_short_demand(service, priority, workers, state)
     )
-    unknown *= max(0.0, 1 - demand.count / _KNOWN_STEPS)
-    return max(known, unknown, _sum_short(service, priority, opened, state))
 
 
 def _get_unknown_share(
     service: str, priority: int, state: SchedulerState
 ) -> float:
-    """Return which part is kept for demand that may still show."""
+    """Return the share of processors to keep for demand not yet seen."""
     if not _demand.may_show(service, priority, state):
         return 0.0
     since_ms = max(state.roomy_ms.get(service, 0), state.ownership.taken_ms)
-    watched_ms = state.now_ms - since_ms
-    return _UNKNOWN_SHARE * math.exp(-watched_ms / _UNKNOWN_FADE_MS)
+    observed_ms = state.now_ms - since_ms
+    return _UNKNOWN_DEMAND_SHARE * math.exp(-observed_ms / _UNKNOWN_DECAY_MS)
 
 
-def _sum_short(
-    service: str, priority: int, opened: list[Worker], state: SchedulerState
+def _sum_short_demand(
+    service: str, priority: int, workers: list[Worker], state: SchedulerState
 ) -> int:
-    """Return the processors that short tasks hold, or wait for, now."""
+    """Return the processors that short tasks have reserved or wait for."""
     held = sum(
         attempt.step.reserved.cpu_millicores
-        for one in opened
+        for one in workers
         for attempt in one.attempts.values()
         if attempt.priority <= priority and not attempt.step.long_running
     )
     waiting = 0
-    for kind, tasks in state.ready.items():
-        job = state.jobs[kind[0]]
-        step = job.request.steps[kind[2]]
+    for step_key, tasks in state.ready.items():
+        job = state.jobs[step_key[0]]
+        step = job.request.steps[step_key[2]]
         is_counted = not step.long_running and job.queue.priority <= priority
         if is_counted and job.queue.service == service:
             waiting += len(tasks) * step.size.cpu_millicores
@@ -316,31 +337,31 @@
 
 
 def tick(context: Context) -> None:
-    """Note since when half of a service's room is reserved."""
+    """Record when each service last had less than half of it reserved."""
     state = context.state
-    if state.now_ms - state.roomy_looked_ms < _LOOK_EVERY_MS:
+    if state.now_ms - state.roomy_looked_ms < _CHECK_INTERVAL_MS:
         return
     state.roomy_looked_ms = state.now_ms
-    opened = _feasibility.list_open(state)
-    services = {one.entry.service for one in opened}
+    workers = _feasibility.list_available(state)
+    services = {one.entry.service for one in workers}
     for service in services:
-        own = [one for one in opened if one.entry.service == service]
-        if _is_roomy(own):
+        own_workers = [one for one in workers if one.entry.service == service]
+        if _is_uncrowded(own_workers):
             state.roomy_ms[service] = state.now_ms
 
 
-def get_hole(worker: Worker) -> int:
+def get_unoccupied(worker: Worker) -> int:
     """Return the processors that no long-running task reserves.
 
-    A room that has shrunk may have less than none; it takes no place from
-    other workers.
+    Never negative: if the capacity of a worker was reduced below what is
+    reserved, that doesn't count against other workers.
     """
     return max(
         0, worker.entry.capacity.cpu_millicores - _sum_long_running(worker)
     )
 
 
-def _get_hole_memory(worker: Worker) -> int:
+def _get_unoccupied_memory(worker: Worker) -> int:
     """Return the memory that no long-running task reserves."""
     return max(
         0,
@@ -368,18 +389,20 @@
     Parameters
     ----------
     place_millicores, piece_millicores : int
-        The size of a place that is kept for short tasks, and the least size
-        of a piece that counts; 0 if none is.
+        The size of a typical short task, and the minimum size of a free piece
+        that counts; 0 if no headroom is kept.
     kept_places, found_places : int
-        How many are kept, and how many long-running tasks leave.
+        The number of short tasks to keep capacity for, and the number that fit
+        next to the long-running tasks.
     is_scarce : bool
         Whether no new long-running task is started.
     place_memory_mb : int
-        The memory of a place.
+        The memory of a typical short task.
     mean_millicores, deviation_millicores : int
-        What short tasks ask for.
+        The mean and standard deviation of the demand of short tasks.
     long_running_millicores, short_millicores, free_millicores : int
-        What is reserved on open workers, and what is not.
+        What long-running and other tasks have reserved on available workers,
+        and what is free.
     """
 
     place_millicores: int
@@ -396,22 +419,22 @@
 
 
 def describe(state: SchedulerState) -> Division:
-    """Return how the processors of the largest service are divided now."""
-    opened = _feasibility.list_open(state)
-    services = collections.Counter(one.entry.service for one in opened)
+    """Return the division of the service with the most workers."""
+    workers = _feasibility.list_available(state)
+    services = collections.Counter(one.entry.service for one in workers)
     service = services.most_common(1)[0][0] if services else ''
-    opened = [one for one in opened if one.entry.service == service]
+    workers = [one for one in workers if one.entry.service == service]
     least_urgent = _demand.get_least_urgent(state)
     found = _measure(service, least_urgent, state) or Headroom(0, 0, 0, 0)
-    capacity = sum(one.entry.capacity.cpu_millicores for one in opened)
+    capacity = sum(one.entry.capacity.cpu_millicores for one in workers)
     demand = _demand.estimate(service, least_urgent, capacity, state)
-    lasting = sum(map(_sum_long_running, opened))
-    reserved = sum(one.reserved.cpu_millicores for one in opened)
+    long_running = sum(map(_sum_long_running, workers))
+    reserved = sum(one.reserved.cpu_millicores for one in workers)
     return Division(
         **attrs.asdict(found),
         mean_millicores=round(demand.mean_millicores),
         deviation_millicores=round(math.sqrt(demand.variance)),
-        long_running_millicores=lasting,
-        short_millicores=reserved - lasting,
-        free_millicores=sum(max(0, one.free.cpu_millicores) for one in opened),
+        long_running_millicores=long_running,
+        short_millicores=reserved - long_running,
+        free_millicores=sum(max(0, one.free.cpu_millicores) for one in workers),
     )
--- a/src/tulippin/jobs/_passing.py
+++ b/src/tulippin/jobs/_passing.py
@@ -1,8 +1,9 @@
-"""Long-running tasks that find no room here, passed on to another unit.
+"""Transfers waiting long-running tasks to other units.
 
-A task is one unit's at any time: the unit that has it first makes durable
-that it will not start it again, and only then tells the other one. Passes
-of a task are numbered, so that a row read late or twice changes nothing.
+A task belongs to one unit at any time: its unit first makes durable that it
+will not start the task again, and only then notifies the other one. The
+transfers of a task are numbered, so that a row read late or twice has no
+effect.
 """
 
 from __future__ import annotations
@@ -32,64 +33,66 @@
 )
 from tulippin.jobs.types import Step, TaskKey, parse_task
 
-# A task that found no room for so long goes elsewhere: a worker that ends
-# a run, or joins, is known within a second.
-_WAIT_MS: t.Final = 700
-_EVERY_MS: t.Final = 200
-# The most tasks passed on in one go: rooms are told twice a second.
-_TASKS_PER_PASS: t.Final = 12
-# Units that are fuller than this are left alone: what is free there lies
-# in pieces, and urgent tasks need some.
-_FULLEST: t.Final = 0.97
-# But for a task that has run and waited for so long: waiting short tasks make
-# every unit look full, and some found no unit for 6 s beside free places.
-_LATE_MS: t.Final = 2000
+# A task is transferred after waiting for this long: a worker that ends a run
+# or joins is known within a second.
+_TRANSFER_DELAY_MS: t.Final = 700
+_TRANSFER_INTERVAL_MS: t.Final = 200
+# Units publish their capacity only twice a second, so transfers are limited.
+_MAX_TRANSFERS_PER_TICK: t.Final = 12
+# Units with a higher load receive no transfers: their free capacity is
+# fragmented, and urgent tasks need some of it.
+_MAX_TARGET_LOAD: t.Final = 0.97
+# A task that ran before ignores that limit after waiting for this long:
+# waiting short tasks make every unit appear full, and some tasks found no unit
+# for 6 s although there was free capacity.
+_LATE_AFTER_MS: t.Final = 2000
 
 
 @handle.register
-def _see_rooms(event: RoomsSeen, context: Context) -> None:
+def _update_rooms(event: RoomsSeen, context: Context) -> None:
+    """Replace the known capacities of the other units."""
     context.state.rooms = dict(event.rooms)
 
 
 def tick(context: Context) -> None:
-    """Pass on long-running tasks that wait while others have room."""
+    """Transfer long-running tasks that wait while other units have capacity."""
     state = context.state
-    is_due = state.now_ms - state.passing_ms >= _EVERY_MS
+    is_due = state.now_ms - state.passing_ms >= _TRANSFER_INTERVAL_MS
     if not (context.may_order and is_due and state.rooms and state.ready):
         return
     state.passing_ms = state.now_ms
-    _even_out(context)
-    budget = _TASKS_PER_PASS
-    refused: set[tuple[_ready.StepKey, bool, bool]] = set()
-    for job, step, task in _list_late(state):
-        # Where no unit has a place for one task, none has for its like.
-        alike = (
+    _rebalance(context)
+    budget = _MAX_TRANSFERS_PER_TICK
+    refused_groups: set[tuple[_ready.StepKey, bool, bool]] = set()
+    for job, step, task in _list_waiting(state):
+        # If no unit fits a task, none fits others with the same properties.
+        task_group = (
             _ready.get_step_key(task.key),
             _ready.is_back(job, task),
             _is_late(job, task, state),
         )
-        if alike in refused or task.attempts:
+        if task_group in refused_groups or task.attempts:
             continue
         if not _crashes.may_start(job, task, state):
             continue
-        if not _pass(job, step, task, context):
-            refused.add(alike)
+        if not _try_transfer(job, step, task, context):
+            refused_groups.add(task_group)
             continue
         budget -= 1
         if not budget:
             return
 
 
-def _list_late(state: SchedulerState) -> list[tuple[Job, Step, Task]]:
-    """Return the tasks that have waited for room too long."""
-    # Those that are held back go where more is lacking.
-    held = _evening.list_held(state)
-    limit_ms = state.now_ms - _WAIT_MS
+def _list_waiting(state: SchedulerState) -> list[tuple[Job, Step, Task]]:
+    """Return the long-running tasks that have waited for too long."""
+    # Steps held back for rebalancing are transferred as a whole.
+    held_steps = _evening.list_held_steps(state)
+    limit_ms = state.now_ms - _TRANSFER_DELAY_MS
     found = []
-    for kind, tasks in state.ready.items():
-        job = state.jobs[kind[0]]
-        step = job.request.steps[kind[2]]
-        if kind not in held and _may_pass(job, step, state):
+    for step_key, tasks in state.ready.items():
+        job = state.jobs[step_key[0]]
+        step = job.request.steps[step_key[2]]
+        if step_key not in held_steps and _may_transfer(job, step, state):
             found.extend(
                 (job, step, task)
                 for task in tasks.values()
@@ -98,33 +101,34 @@
     return found
 
 
-def _even_out(context: Context) -> None:
-    """Pass on new steps of which the unit has more than others."""
+def _rebalance(context: Context) -> None:
+    """Transfer new steps to emptier units if this one is above the mean."""
     state = context.state
-    for kind, unit in _evening.choose_units(state).items():
-        job = state.jobs[kind[0]]
-        step = job.request.steps[kind[2]]
-        for task in list(state.ready[kind].values()):
-            _hand_over(job, step, task, unit, context)
+    for step_key, unit in _evening.choose_units(state).items():
+        job = state.jobs[step_key[0]]
+        step = job.request.steps[step_key[2]]
+        for task in list(state.ready[step_key].values()):
+            _transfer(job, step, task, unit, context)
 
 
-def _may_pass(job: Job, step: Step, state: SchedulerState) -> bool:
+def _may_transfer(job: Job, step: Step, state: SchedulerState) -> bool:
+    """Whether the tasks of a step may be transferred."""
     if not step.long_running or step.gang:
         return False
     return not _unseen.holds_back(job, step)
 
 
-def _pass(job: Job, step: Step, task: Task, context: Context) -> bool:
-    """Mark a task as another unit's, if one has room; true if so."""
+def _try_transfer(job: Job, step: Step, task: Task, context: Context) -> bool:
+    """Transfer a task if a unit fits it; return whether one did."""
     state = context.state
     is_back = _ready.is_back(job, task)
     is_late = _is_late(job, task, state)
     unit = _choose_unit(step, state, is_late=is_late, is_new=not is_back)
     if unit is None:
         return False
-    _hand_over(job, step, task, unit, context)
+    _transfer(job, step, task, unit, context)
     if is_late:
-        # Its place is taken until the next row tells of another.
+        # Counts the capacity as used until the next row of the unit.
         room = state.rooms[unit]
         largest_free = room.largest_free.subtract(step.reserved)
         state.rooms[unit] = attrs.evolve(room, largest_free=largest_free)
@@ -132,23 +136,26 @@
 
 
 def _is_late(job: Job, task: Task, state: SchedulerState) -> bool:
-    """Whether a task that ran has waited for long."""
+    """Whether a task that ran before has waited for long."""
     waited_ms = state.now_ms - task.ready_ms
-    return waited_ms >= _LATE_MS and _ready.is_back(job, task)
+    return waited_ms >= _LATE_AFTER_MS and _ready.is_back(job, task)
 
 
-def _hand_over(
+def _transfer(
     job: Job, step: Step, task: Task, unit: int, context: Context
 ) -> None:
-    """Mark a task as another unit's."""
+    """Assign a task to another unit; it is notified once that is durable."""
     state = context.state
-    number = max(job.passes.get(task.key, 0), _get_passed(job, task.key)) + 1
-    # Runs are numbered by epoch, and the next epoch is above all of ours.
+    number = (
+        max(job.passes.get(task.key, 0), _get_last_transfer(job, task.key)) + 1
+    )
+    # Runs are numbered by epoch, so numbers of the next epoch are above all
+    # runs of this unit.
     least_run = task.least_run + (context.fencing_token + 1) * RUNS_PER_EPOCH
     job.passed[task.key] = PassedTask(unit, number, least_run)
     _ready.remove(task.key, step, state)
     if not _lifecycle.is_here(job, _lifecycle.get_first_task(job)):
-        # Whether it has begun is the other unit's to tell.
+        # From here on the other unit reports whether the job has begun.
         _lifecycle.mark_begun(job, state)
     _lifecycle.mark_dirty(job, state)
     room = state.rooms[unit]
@@ -167,6 +174,7 @@
 
 
 def _has_run(job: Job, name: str) -> bool:
+    """Whether a task, by its name within the job, ran before."""
     key = parse_task(f'{job.job_id}.{name}')
     return _ready.is_back(job, _lifecycle.get_task(job, key))
 
@@ -174,7 +182,7 @@
 def _list_crashes(
     job: Job, names: t.Iterable[str]
 ) -> dict[str, tuple[CrashRecord, ...]]:
-    """Return what crashed under some tasks, for the unit that gets them."""
+    """Return the crash records of tasks, for the unit that receives them."""
     found = {}
     for name in names:
         task = job.tasks.get(parse_task(f'{job.job_id}.{name}'))
@@ -183,13 +191,14 @@
     return found
 
 
-def _get_passed(job: Job, key: TaskKey) -> int:
+def _get_last_transfer(job: Job, key: TaskKey) -> int:
+    """Return the number of a task's last transfer from here, or 0."""
     passed = job.passed.get(key)
     return passed.pass_number if passed else 0
 
 
 def has_unit_for(step: Step, state: SchedulerState) -> bool:
-    """Whether another unit would take a task now."""
+    """Whether another unit has capacity for a step's task now."""
     return _choose_unit(step, state) is not None
 
 
@@ -200,30 +209,32 @@
     is_late: bool = False,
     is_new: bool = False,
 ) -> int | None:
-    """Return the emptiest unit that has a place for a task.
+    """Return the unit with the lowest load that fits a task, or None.
 
-    A task that is late takes any place, also in a unit that has much more
-    to do: what waits there is short, and goes after it.
+    A late task ignores the load limit: what waits in an overloaded unit are
+    short tasks, which are placed after it.
     """
     fitting = [
-        (_get_fullness(room), number)
+        (_get_load(room), number)
         for number, room in state.rooms.items()
         if _rooms.has_place(room, step, is_new=is_new)
-        and (is_late or _is_inviting(room))
+        and (is_late or _accepts_transfers(room))
     ]
     return min(fitting)[1] if fitting else None
 
 
-def _is_inviting(room: UnitRoom) -> bool:
-    return _get_fullness(room) < _FULLEST
+def _accepts_transfers(room: UnitRoom) -> bool:
+    """Whether the load of a unit is low enough for transfers."""
+    return _get_load(room) < _MAX_TARGET_LOAD
 
 
-def _get_fullness(room: UnitRoom) -> float:
+def _get_load(room: UnitRoom) -> float:
+    """Return the reserved share of a unit's processors."""
     return room.reserved_millicores / max(1, room.capacity_millicores)
 
 
 def send(job: Job, context: Context) -> None:
-    """Tell other units of tasks that are durably no longer ours."""
+    """Notify other units of tasks whose transfer to them is durable."""
     if job.durable is None or not job.durable.passed:
         return
     by_unit: dict[int, dict[str, tuple[int, int]]] = {}
--- a/src/tulippin/jobs/_placing.py
+++ b/src/tulippin/jobs/_placing.py
@@ -1,4 +1,8 @@
-"""Which worker each ready task is started on, and when."""
+"""Places ready tasks on workers.
+
+The scheduler's core calls ``place`` after events and at each tick; it walks
+through the queues of ready steps and starts the tasks that fit.
+"""
 
 from __future__ import annotations
 
@@ -34,31 +38,39 @@
 from tulippin.jobs.types import Step, TaskKey
 from tulippin.types import Resources
 
-# The most starts decided in one go, so that answers are read in between.
-_STARTS_PER_PASS: t.Final = 40
-# How long long-running tasks wait for others, to be placed image by image:
-# the jobs that stood before a start come within 100 ms.
-_GATHER_MS: t.Final = 150
-# Between two starts of overdue tasks ahead of all others, and how many of
-# them are tried. Without a pause between, tasks that last took all room of
-# an overloaded day: urgent work was served by 0.08 to 0.32 in place of 0.31
-# to 0.41 of its worth.
-_OVERDUE_EVERY_MS: t.Final = 300
+# Limits the starts of one pass, so that answers are read in between.
+_MAX_STARTS_PER_PASS: t.Final = 40
+# Delay before long-running tasks are placed, so that tasks of one image are
+# placed together: jobs that existed before a restart arrive within 100 ms.
+_GATHER_DELAY_MS: t.Final = 150
+# Interval between two starts of overdue tasks ahead of all others, and how
+# many steps are tried. Without the interval, long-running tasks took all free
+# capacity under overload: urgent work earned 0.08 to 0.32 of its value instead
+# of 0.31 to 0.41.
+_OVERDUE_INTERVAL_MS: t.Final = 300
 _OVERDUE_TRIES: t.Final = 8
-# Between two looks for jobs that have long had nothing running.
-_SLOW_EVERY_MS: t.Final = 200
-# Between two passes over the tasks for idle processors.
-_IDLE_EVERY_MS: t.Final = 100
-# Between two passes over the other tasks, but at a tick: events come in
-# bursts, and each would look at the same workers again.
-_EVERY_MS: t.Final = 15
+# Interval between two scans for jobs that have had nothing running for long.
+_SLOW_START_INTERVAL_MS: t.Final = 200
+# Interval between two passes over the opportunistic tasks.
+_IDLE_PASS_INTERVAL_MS: t.Final = 100
+# Minimum interval between two passes over the other tasks, except at a tick:
+# events come in bursts, and each would scan the same workers again.
+_PASS_INTERVAL_MS: t.Final = 15
 
 
 def place(context: Context, *, is_tick: bool) -> None:
-    """Start ready tasks, the most urgent first, wherever they fit.
-
-    Tasks on idle processors wait for a tick: what they may take changes
-    with tails and paces, not with single events.
+    """Start ready tasks that fit on a worker, the most urgent first.
+
+    Does nothing while this instance may not start runs. Opportunistic tasks
+    are placed at ticks only: the idle processors that they may use change with
+    latency tails and paces, not with single events.
+
+    Parameters
+    ----------
+    context : Context
+        Holds the state, and takes the effects.
+    is_tick : bool
+        Whether the call comes from the periodic tick.
     """
     state = context.state
     if not (context.may_order and _ownership.may_prolong(state)):
@@ -67,172 +79,189 @@
     if is_tick or state.is_sending_due:
         state.is_sending_due = False
         _starting.send_durable(context)
-    is_soon = state.now_ms - state.placed_ms < _EVERY_MS
-    if is_tick or (state.is_placing_due and not is_soon):
+    is_recent = state.now_ms - state.placed_ms < _PASS_INTERVAL_MS
+    if is_tick or (state.is_placing_due and not is_recent):
         state.is_placing_due = False
         state.placed_ms = state.now_ms
-        _Pass(context, state.ready).run()
-    is_due = state.now_ms - state.idle_placed_ms >= _IDLE_EVERY_MS
+        _PlacementPass(context, state.ready).run()
+    is_due = state.now_ms - state.idle_placed_ms >= _IDLE_PASS_INTERVAL_MS
     if is_tick and is_due and state.ready_idle:
         state.idle_placed_ms = state.now_ms
-        _Pass(context, state.ready_idle).run()
+        _PlacementPass(context, state.ready_idle).run()
 
 
 @attrs.define
-class _Pass:
-    """One look through a queue of ready steps."""
+class _PlacementPass:
+    """One pass over a queue of ready steps.
+
+    It remembers which sizes found no worker, so that no equal or larger task
+    is tried again within the pass.
+    """
 
     context: Context
     queue: dict[_ready.StepKey, dict[TaskKey, Task]]
-    budget: int = _STARTS_PER_PASS
+    budget: int = _MAX_STARTS_PER_PASS
     # Sizes of opportunistic tasks, by service and image, that no worker
-    # takes beside what it serves.
-    refused: dict[tuple[str, str], list[Resources]] = attrs.field(factory=dict)
-    # Sizes of plain tasks, by service, for which no worker has room; those
-    # of tasks that leave headroom apart.
-    too_large: dict[tuple[str, bool], list[Resources]] = attrs.field(
+    # accepts next to the tasks that it serves.
+    rejected_sizes: dict[tuple[str, str], list[Resources]] = attrs.field(
         factory=dict
     )
-    # Steps that wait for the others' rooms, once that was asked.
-    held: frozenset[_ready.StepKey] | None = None
+    # Sizes of unconstrained tasks that no worker has capacity for, by service
+    # and by whether the task has to leave headroom.
+    unplaceable_sizes: dict[tuple[str, bool], list[Resources]] = attrs.field(
+        factory=dict
+    )
+    # Steps that are held back for rebalancing; computed on first use.
+    rebalancing_steps: frozenset[_ready.StepKey] | None = None
 
     def run(self) -> None:
-        """Place step by step, as far as the budget goes."""
+        """Place the steps of the queue until the budget is used up."""
         state = self.context.state
         if self.queue is state.ready:
             self._place_overdue()
         self._place_ranked()
         if self.queue is state.ready_idle:
-            self._place_slowly()
+            self._place_slow_starts()
 
     def _place_ranked(self) -> None:
         state = self.context.state
-        for kind in _ranking.sort_kinds(self.queue, state):
-            job = state.jobs[kind[0]]
-            if not _unseen.holds_back(job, job.request.steps[kind[2]]):
-                self._place(job, kind)
+        for step_key in _ranking.sort_steps(self.queue, state):
+            job = state.jobs[step_key[0]]
+            if not _unseen.holds_back(job, job.request.steps[step_key[2]]):
+                self._place_step(job, step_key)
             if self.budget <= 0:
                 state.is_placing_due = True
                 return
 
-    def _place_slowly(self) -> None:
-        """Begin a run of each job that has long had none."""
+    def _place_slow_starts(self) -> None:
+        """Start a run at a low pace for jobs that have had none for long."""
         state = self.context.state
-        if state.now_ms - state.slow_placed_ms < _SLOW_EVERY_MS:
+        if state.now_ms - state.slow_placed_ms < _SLOW_START_INTERVAL_MS:
             return
         state.slow_placed_ms = state.now_ms
         waiting = _slow_start.list_waiting(state)
         for job, task in _slow_start.take_turn(waiting, state):
             step = job.request.steps[task.key.step]
             if _ready.has_runs(job) and not step.long_running:
-                # Another of its steps has begun in this look.
+                # Another step of the job was started in this scan.
                 continue
-            found = _slow_start.choose(job, task, step, state)
-            if found is not None:
-                self._start(job, step, task, found.worker, found.pace_percent)
+            choice = _slow_start.choose(job, task, step, state)
+            if choice is not None:
+                self._start(job, step, task, choice.worker, choice.pace_percent)
 
     def _place_overdue(self) -> None:
-        """Start one task that has waited long, before others.
+        """Start one overdue long-running task ahead of all others.
 
-        Short tasks go before long-running ones otherwise, and where they
-        always wait they take all room that comes free.
+        Short tasks otherwise precede long-running ones, and where some are
+        always waiting they take all capacity that becomes free.
         """
         state = self.context.state
-        if state.now_ms - state.overdue_ms < _OVERDUE_EVERY_MS:
+        if state.now_ms - state.overdue_ms < _OVERDUE_INTERVAL_MS:
             return
-        tried: set[_ready.StepKey] = set()
+        tried_steps: set[_ready.StepKey] = set()
         for job, task in _ready.list_overdue(state):
-            if len(tried) >= _OVERDUE_TRIES:
+            if len(tried_steps) >= _OVERDUE_TRIES:
                 return
             step = job.request.steps[task.key.step]
-            is_unseen = _unseen.holds_back(job, step)
-            if not is_unseen and self._start_overdue(job, task, tried):
+            is_withheld = _unseen.holds_back(job, step)
+            if not is_withheld and self._start_overdue(job, task, tried_steps):
                 state.overdue_ms = state.now_ms
                 return
 
     def _start_overdue(
-        self, job: Job, task: Task, tried: set[_ready.StepKey]
+        self, job: Job, task: Task, tried_steps: set[_ready.StepKey]
     ) -> bool:
-        """Start a task, unless none of its step or size finds a place."""
+        """Try to start an overdue task; return whether it was started.
+
+        Steps for which no worker was found are added to ``tried_steps``, and
+        their other tasks are skipped.
+        """
         state = self.context.state
         step = job.request.steps[task.key.step]
-        kind = _ready.get_step_key(task.key)
-        if kind in tried or self._is_too_large(job, step, task):
+        step_key = _ready.get_step_key(task.key)
+        if step_key in tried_steps or self._exceeds_free_capacity(
+            job, step, task
+        ):
             return False
         if not _crashes.may_start(job, task, state):
             return False
         worker = _choosing.choose(job, task, step, state)
         if worker is None:
             if not task.crashes:
-                tried.add(kind)
-                self._note_too_large(job, step, task)
+                tried_steps.add(step_key)
+                self._record_unplaceable_size(job, step, task)
             return False
         self._start(job, step, task, worker)
         return True
 
-    def _place(self, job: Job, kind: _ready.StepKey) -> None:
-        step = job.request.steps[kind[2]]
-        if self._is_gathering(job, kind):
+    def _place_step(self, job: Job, step_key: _ready.StepKey) -> None:
+        """Start tasks of one step as far as workers and budget allow."""
+        step = job.request.steps[step_key[2]]
+        if self._is_delayed(job, step_key):
             return
         if job.queue.advised:
-            # Also where there is no hope in this pass: a job that has had
-            # nothing running for long can begin only where it has a ticket.
-            _advice.ask_if_due(job, kind, self.context)
-        if self._is_hopeless(job, step):
+            # Needed even if the task fits nowhere in this pass: a slow start
+            # requires a ticket for the worker.
+            _advice.ask_if_due(job, step_key, self.context)
+        if self._exceeds_rejected_size(job, step):
             return
         state = self.context.state
         tasks = [
             task
-            for task in self.queue[kind].values()
+            for task in self.queue[step_key].values()
             if _crashes.may_start(job, task, state)
         ]
         if step.long_running:
-            # No room that is kept from new tasks is kept from those that ran.
+            # Tasks that ran before don't have to leave headroom; try them
+            # first.
             tasks.sort(key=lambda task: not _ready.is_back(job, task))
         if step.gang:
-            self.budget -= place_gang(job, step, tasks, self.context)
+            self.budget -= _place_gang(job, step, tasks, self.context)
             return
         for task in tasks[: self.budget]:
             if not self._place_task(job, step, task):
-                self._note_refused(job, step, task)
+                self._record_rejected_size(job, step, task)
                 break
 
-    def _is_hopeless(self, job: Job, step: Step) -> bool:
-        """Whether no larger task of the same image found a place."""
+    def _exceeds_rejected_size(self, job: Job, step: Step) -> bool:
+        """Whether a task of the image that is no larger was rejected."""
         if not step.opportunistic:
             return False
         place = job.queue.service, step.image
-        return any(step.size.fits(size) for size in self.refused.get(place, ()))
+        return any(
+            step.size.fits(size) for size in self.rejected_sizes.get(place, ())
+        )
 
-    def _note_refused(self, job: Job, step: Step, task: Task) -> None:
-        """Note that no worker takes tasks of a size beside what it serves.
+    def _record_rejected_size(self, job: Job, step: Step, task: Task) -> None:
+        """Record that no worker accepts an opportunistic task of this size.
 
-        What only a label, a ticket or its own step keeps off tells nothing
-        of others, and what lacks memory nothing of lighter ones.
+        A task that is limited by a label, a ticket or its own step says
+        nothing about others. Unless memory was the obstacle, the size is
+        recorded without memory, so that it also covers lighter tasks.
         """
-        if not (step.opportunistic and _has_no_bounds(step, job)):
+        if not (step.opportunistic and _is_unconstrained(step, job)):
             return
         state = self.context.state
         size = step.size
-        if not _choosing.is_kept_by_memory(task, step, state):
+        if not _choosing.is_limited_by_memory(task, step, state):
             size = attrs.evolve(size, memory_mb=0)
         place = job.queue.service, step.image
-        self.refused.setdefault(place, []).append(size)
+        self.rejected_sizes.setdefault(place, []).append(size)
 
-    def _is_too_large(self, job: Job, step: Step, task: Task) -> bool:
-        """Whether no larger task of the service found room in this pass."""
+    def _exceeds_free_capacity(self, job: Job, step: Step, task: Task) -> bool:
+        """Whether no worker had capacity for a task that is no larger."""
         if step.opportunistic:
             return False
         service = job.queue.service
-        sizes = list(self.too_large.get((service, False), ()))
+        sizes = list(self.unplaceable_sizes.get((service, False), ()))
         if _headroom.leaves_headroom(job, task, step):
-            sizes.extend(self.too_large.get((service, True), ()))
+            sizes.extend(self.unplaceable_sizes.get((service, True), ()))
         return any(step.reserved.fits(size) for size in sizes)
 
-    def _is_held_back(self, job: Job, step: Step, task: Task) -> bool:
-        """Whether no worker would have headroom left beside a task."""
+    def _exceeds_headroom(self, job: Job, step: Step, task: Task) -> bool:
+        """Whether every worker would lack headroom if the task started."""
         if step.required_label:
-            # What binds a task to its unit is looked at for each.
+            # Whether a label binds a task to this unit is checked per task.
             return False
         if not _headroom.leaves_headroom(job, task, step):
             return False
@@ -241,40 +270,48 @@
         )
         return largest is not None and step.size.cpu_millicores > largest
 
-    def _note_too_large(self, job: Job, step: Step, task: Task) -> None:
-        """Note that no worker has room for tasks of a size."""
-        if _is_plain(step, job):
-            leaves_room = _headroom.leaves_headroom(job, task, step)
-            key = (job.queue.service, leaves_room)
-            sizes = self.too_large.setdefault(key, [])
+    def _record_unplaceable_size(
+        self, job: Job, step: Step, task: Task
+    ) -> None:
+        """Record that no worker has capacity for a task of this size."""
+        if _is_limited_by_size_only(step, job):
+            must_leave_headroom = _headroom.leaves_headroom(job, task, step)
+            key = (job.queue.service, must_leave_headroom)
+            sizes = self.unplaceable_sizes.setdefault(key, [])
             sizes.append(step.reserved)
 
-    def _is_gathering(self, job: Job, kind: _ready.StepKey) -> bool:
-        """Whether others that come together with the job are awaited."""
+    def _is_delayed(self, job: Job, step_key: _ready.StepKey) -> bool:
+        """Whether a long-running step waits for its batch or rebalancing."""
         state = self.context.state
-        if not job.request.steps[kind[2]].long_running:
+        if not job.request.steps[step_key[2]].long_running:
             return False
-        if state.now_ms - job.known_ms < _GATHER_MS:
+        if state.now_ms - job.known_ms < _GATHER_DELAY_MS:
             return True
-        if self.held is None:
-            self.held = _evening.list_held(state)
-        return kind in self.held
+        if self.rebalancing_steps is None:
+            self.rebalancing_steps = _evening.list_held_steps(state)
+        return step_key in self.rebalancing_steps
 
     def _place_task(self, job: Job, step: Step, task: Task) -> bool:
-        """Start a task; false if the step's others fit nowhere either."""
+        """Start a task, or preempt others for it.
+
+        Returns
+        -------
+        bool
+            False if no other task of the step would find a worker either.
+        """
         state = self.context.state
         worker = None
-        if self._is_held_back(job, step, task):
-            # No stop of others would make it room that it may take.
+        if self._exceeds_headroom(job, step, task):
+            # Preemption frees no capacity that the task may use.
             return False
-        if not self._is_too_large(job, step, task):
+        if not self._exceeds_free_capacity(job, step, task):
             worker = _choosing.choose(job, task, step, state)
         if worker is None:
             _preempt(job, task, self.context)
             if task.crashes:
-                # What keeps it off, as one under suspicion, keeps off no other.
+                # A suspected task has restrictions that others don't have.
                 return True
-            self._note_too_large(job, step, task)
+            self._record_unplaceable_size(job, step, task)
             return bool(task.avoided)
         self._start(job, step, task, worker)
         return True
@@ -287,7 +324,7 @@
         worker: Worker,
         pace_percent: int | None = None,
     ) -> None:
-        """Start a task, at a pace where it is to begin slowly."""
+        """Start a task; with ``pace_percent`` given, as a slow start."""
         task.run_count += 1
         attempt = _starting.add_run(job, step, task, worker, self.context)
         if pace_percent is not None:
@@ -298,32 +335,32 @@
         self.budget -= 1
 
 
-def _is_plain(step: Step, job: Job) -> bool:
-    """Whether only its size keeps a step's task from a worker."""
-    return not step.opportunistic and _has_no_bounds(step, job)
+def _is_limited_by_size_only(step: Step, job: Job) -> bool:
+    """Whether a step's tasks reserve capacity and are limited by size only."""
+    return not step.opportunistic and _is_unconstrained(step, job)
 
 
-def _has_no_bounds(step: Step, job: Job) -> bool:
-    """Whether a step's tasks may run on any worker that bears them."""
+def _is_unconstrained(step: Step, job: Job) -> bool:
+    """Whether a step has no label, no per-worker limit and no advice."""
     is_free = not (step.required_label or step.max_per_worker)
     return is_free and not job.queue.advised
 
 
-def place_gang(
+def _place_gang(
     job: Job, step: Step, tasks: list[Task], context: Context
 ) -> int:
-    """Start all tasks of a gang under one run, or none of them.
+    """Start all tasks of a gang under one run number, or none of them.
 
     Returns
     -------
     int
-        How many runs were started.
+        The number of runs started.
     """
     if len(tasks) < step.task_count:
-        # Members of the last run are still to end.
+        # Members of the previous run have not ended yet.
         return 0
     for labels in _iter_racks(step, context.state):
-        attempts = _add_all(job, step, tasks, labels, context)
+        attempts = _reserve_gang(job, step, tasks, labels, context)
         for attempt in attempts:
             _starting.send(attempt, job, context)
         if attempts:
@@ -332,17 +369,20 @@
 
 
 def _iter_racks(step: Step, state: SchedulerState) -> t.Iterator[str]:
-    """Iterate over racks to try, then any place at all."""
+    """Yield the racks to try, then an empty text for any rack."""
     if step.same_rack:
         racks = {worker.entry.rack for worker in state.workers.values()}
         yield from sorted(racks - {''})
     yield ''
 
 
-def _add_all(
+def _reserve_gang(
     job: Job, step: Step, tasks: list[Task], rack: str, context: Context
 ) -> list[Attempt]:
-    """Reserve a place for each member; reserve nothing if one has none."""
+    """Reserve a worker for each member, or none if one member fits nowhere.
+
+    Returns the new runs, empty if nothing was reserved.
+    """
     state = context.state
     run_count = max(task.run_count for task in tasks) + 1
     checkpoint = max(task.checkpoint for task in tasks)
@@ -361,10 +401,11 @@
 
 
 def _preempt(job: Job, task: Task, context: Context) -> None:
+    """Stop less urgent runs for a task of the most urgent priority."""
     step = job.request.steps[task.key.step]
     if job.queue.priority != 0 or step.opportunistic:
         return
-    _preempting.make_room(
+    _preempting.preempt(
         job,
         task,
         lambda worker: _feasibility.is_open(
--- a/src/tulippin/jobs/_preempting.py
+++ b/src/tulippin/jobs/_preempting.py
@@ -1,4 +1,4 @@
-"""Making room for urgent tasks by stopping less urgent ones."""
+"""Preempts less urgent runs to free capacity for urgent tasks."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 from tulippin.jobs.types import Step
 from tulippin.types import Resources
 
-# How long a task that had others stopped waits before it has more
-# stopped: a stop takes up to 900 ms, and its end is read soon after.
-_AGAIN_MS: t.Final = 1300
-# The most stops decided in one go.
-_STOPS_PER_PASS: t.Final = 12
-# A task for which no stop makes room looks again after so long: what runs
-# where changes slowly beside the passes over ready tasks, and looking at
-# the runs of all workers took half of an overloaded owner's time.
-_LOOK_AGAIN_MS: t.Final = 200
+# Delay before a task preempts again: a stop takes up to 900 ms, and its end is
+# read soon after.
+_RETRY_AFTER_STOP_MS: t.Final = 1300
 
+_MAX_STOPS_PER_TASK: t.Final = 12
+# Delay before the next attempt of a task for which no preemption helps.
+# Assignments change slowly compared with the passes over ready tasks, and
+# scanning the runs of all workers took half of an overloaded owner's time.
+_RETRY_INTERVAL_MS: t.Final = 200
 
-def make_room(
+
+def preempt(
     job: Job,
     task: Task,
     is_open: t.Callable[[Worker], bool],
     context: Context,
 ) -> int:
-    """Stop less urgent runs where that lets a task in.
+    """Stop less urgent runs on the worker where that loses the least work.
 
     Parameters
     ----------
     job, task : Job, Task
         The urgent task that fits nowhere.
     is_open : callable
-        Tells whether a worker could take the task, but for its room.
+        Returns whether a worker may run the task, apart from its capacity.
     context : Context
         Takes the orders to stop.
 
     Returns
     -------
     int
-        How many runs were told to stop.
+        The number of runs that were ordered to stop.
     """
     state = context.state
     if state.now_ms < task.preempt_after_ms:
         return 0
-    task.preempt_after_ms = state.now_ms + _LOOK_AGAIN_MS
+    task.preempt_after_ms = state.now_ms + _RETRY_INTERVAL_MS
     step = job.request.steps[task.key.step]
     best: list[Attempt] = []
     best_cost = 0
@@ -65,9 +65,9 @@
         if victims and (not best or cost < best_cost):
             best = victims
             best_cost = cost
-    if not best or len(best) > _STOPS_PER_PASS:
+    if not best or len(best) > _MAX_STOPS_PER_TASK:
         return 0
-    task.preempt_after_ms = state.now_ms + _AGAIN_MS
+    task.preempt_after_ms = state.now_ms + _RETRY_AFTER_STOP_MS
     for attempt in best:
         state.count('preemptions')
         _attempts.stop_attempt(
@@ -77,15 +77,16 @@
 
 
 def _get_cost(attempt: Attempt, state: SchedulerState) -> int:
-    """Return the work, in millicore-milliseconds, that a stop may lose."""
+    """Return the work, in millicore-milliseconds, that a stop may discard."""
     age_ms = state.now_ms - attempt.sent_ms
     if attempt.step.checkpointing:
-        # A stop saves the work; what is lost is the way back.
+        # The work is saved; only restoring the checkpoint costs time.
         age_ms = min(age_ms, 1000)
     return age_ms * attempt.step.size.cpu_millicores
 
 
 def _is_victim(attempt: Attempt, priority: int) -> bool:
+    """Whether a task of a priority may preempt a run."""
     return (
         attempt.priority > priority
         and attempt.state is AttemptState.RUNNING
@@ -96,7 +97,7 @@
 def _would_fit(
     free: Resources, worker: Worker, step: Step, priority: int
 ) -> bool:
-    """Whether a task would fit if all that may be stopped were."""
+    """Whether a task would fit if all possible victims were stopped."""
     wanted = step.reserved
     cpu_millicores = free.cpu_millicores
     memory_mb = free.memory_mb
@@ -111,13 +112,16 @@
 
 
 def _choose_victims(worker: Worker, step: Step, priority: int) -> list[Attempt]:
-    """Return runs that free enough room, or nothing if none do."""
+    """Return runs whose stop frees enough capacity; empty if none do.
+
+    Empty also if runs that are stopping already free enough.
+    """
     free = worker.free
     for attempt in worker.attempts.values():
         if attempt.state is AttemptState.STOPPING:
             free = free.add(attempt.step.reserved)
     if free.fits(step.reserved):
-        # Room is coming already.
+        # Runs that are stopping free enough capacity.
         return []
     if not _would_fit(free, worker, step, priority):
         return []
--- a/src/tulippin/jobs/_ranking.py
+++ b/src/tulippin/jobs/_ranking.py
@@ -1,8 +1,8 @@
-"""In which order ready steps are looked at for placement.
+"""Orders ready steps for placement.
 
-A job earns most if it is completed within its objective, a little up to
-three times that, and nothing later. Under overload, first come first
-served would make all jobs late; so those that can still make it go first.
+A job has full value if it is completed within its objective, little up to
+three times that, and none later. Under overload, first come first served would
+make all jobs late, so jobs that can still meet their objective go first.
 """
 
 from __future__ import annotations
@@ -14,69 +14,72 @@
 from tulippin.jobs.state import Job, SchedulerState, Task
 from tulippin.jobs.types import JobRequest
 
-# Weight of a new run time in the mean of its queue.
-_LEARN: t.Final = 0.05
-# A job is worth something up to so many times its objective.
-_LATE_LIMIT: t.Final = 3
-# Long-running tasks of jobs that came within this are placed together.
-_BATCH_MS: t.Final = 1000
-# Stands for "as many as fit" where the least must come first.
-_UNLIMITED: t.Final = 1_000_000
+# Weight of a new run time in the moving mean of its queue.
+_RUN_TIME_WEIGHT: t.Final = 0.05
+# A job has no value after this multiple of its objective.
+_MAX_OBJECTIVE_MULTIPLE: t.Final = 3
+# Long-running tasks of jobs that arrived in the same window are placed
+# together.
+_BATCH_WINDOW_MS: t.Final = 1000
+# Sorts steps without a limit of tasks per worker last.
+_UNLIMITED_TASKS_PER_WORKER: t.Final = 1_000_000
 
 
 def learn_run_time(job: Job, run_ms: int, state: SchedulerState) -> None:
-    """Take the time of a run that ended done into its queue's mean."""
+    """Update a queue's mean run time with a run that completed."""
     name = job.queue.name
-    known_ms = state.run_times_ms.get(name, float(run_ms))
-    state.run_times_ms[name] = known_ms + _LEARN * (run_ms - known_ms)
+    mean_ms = state.run_times_ms.get(name, float(run_ms))
+    state.run_times_ms[name] = mean_ms + _RUN_TIME_WEIGHT * (run_ms - mean_ms)
 
 
 def get_run_ms(job: Job, state: SchedulerState) -> float:
-    """Return how long a run of a job's tasks takes on the mean.
+    """Return the mean run time of the tasks of a job's queue.
 
-    Until one of the queue has ended the callers' guess stands for it: with no
-    time at all every job would look late at once.
+    Until a run of the queue has completed, the estimate in the request is
+    used: with a run time of zero every job would count as late at once.
     """
-    known_ms = state.run_times_ms.get(job.queue.name, 0.0)
-    return known_ms or max(step.estimated_ms for step in job.request.steps)
+    mean_ms = state.run_times_ms.get(job.queue.name, 0.0)
+    return mean_ms or max(step.estimated_ms for step in job.request.steps)
 
 
 def compute_depths(request: JobRequest) -> tuple[int, ...]:
-    """Return for each step how many steps its longest chain still has."""
+    """Return for each step the length of the longest chain from it on."""
     depths = [1 for _ in request.steps]
-    for number in reversed(range(len(request.steps))):
-        for before in request.steps[number].after:
-            depths[before] = max(depths[before], depths[number] + 1)
+    for index in reversed(range(len(request.steps))):
+        for predecessor in request.steps[index].after:
+            depths[predecessor] = max(depths[predecessor], depths[index] + 1)
     return tuple(depths)
 
 
-def sort_kinds(
+def sort_steps(
     queue: dict[StepKey, dict[t.Any, Task]], state: SchedulerState
 ) -> list[StepKey]:
-    """Return the keys of ready steps, the first to be placed first."""
+    """Return the keys of ready steps in the order of their placement."""
     jobs = state.jobs
-    demand = _sum_lasting(queue, state)
+    demand = _sum_long_running_demand(queue, state)
     return sorted(
         queue,
-        key=lambda kind: _get_rank(jobs[kind[0]], kind, state, demand),
+        key=lambda step_key: _make_rank(
+            jobs[step_key[0]], step_key, state, demand
+        ),
     )
 
 
-def _sum_lasting(
+def _sum_long_running_demand(
     queue: dict[StepKey, dict[t.Any, Task]], state: SchedulerState
 ) -> dict[str, int]:
-    """Return the millicores that long-running tasks wait for, by image."""
+    """Return the waiting long-running demand in millicores, by image."""
     demand: dict[str, int] = {}
-    for kind, tasks in queue.items():
-        step = state.jobs[kind[0]].request.steps[kind[2]]
+    for step_key, tasks in queue.items():
+        step = state.jobs[step_key[0]].request.steps[step_key[2]]
         if step.long_running:
-            asked = step.size.cpu_millicores * len(tasks)
-            demand[step.image] = demand.get(step.image, 0) + asked
+            demanded = step.size.cpu_millicores * len(tasks)
+            demand[step.image] = demand.get(step.image, 0) + demanded
     return demand
 
 
-class Hope(enum.IntEnum):
-    """How late a job must be at best."""
+class Lateness(enum.IntEnum):
+    """The best outcome that a job can still reach."""
 
     IN_TIME = 0
     LATE = 1
@@ -84,71 +87,80 @@
 
 
 class _Rank(t.NamedTuple):
-    """Compared field by field, in this order; the least goes first."""
+    """A sort key of a ready step; the lowest is placed first."""
 
     priority: int
-    is_lasting: bool
-    hope: Hope
+    is_long_running: bool
+    lateness: Lateness
     due_ms: float
-    largest_first: tuple[int, str, int, int]
-    kind: StepKey
+    long_running_order: tuple[int, str, int, int]
+    step_key: StepKey
 
 
-def _get_rank(
-    job: Job, kind: StepKey, state: SchedulerState, demand: dict[str, int]
+def _make_rank(
+    job: Job, step_key: StepKey, state: SchedulerState, demand: dict[str, int]
 ) -> _Rank:
-    """Order steps: the urgent, the short, the hopeful, the earliest due.
+    """Return the sort key of a step.
 
-    Long-running tasks that came together are placed image by image, so
-    that few workers serve several; of one image first those that must be
-    spread, then the largest, which leaves the least room in pieces too
-    small for anything.
+    Steps are ordered by priority, short before long-running, by the lateness
+    that their job can still reach, and by due time.
+
+    Long-running tasks that arrived together are placed image by image, so that
+    few workers serve several images. Within an image, steps with the lowest
+    limit per worker come first, then the largest tasks, which leaves the least
+    capacity in fragments too small to use.
     """
-    step = job.request.steps[kind[2]]
+    step = job.request.steps[step_key[2]]
     if step.long_running:
-        batch = job.known_ms // _BATCH_MS
+        batch = job.known_ms // _BATCH_WINDOW_MS
         order = (
             -demand[step.image],
             step.image,
-            step.max_per_worker or _UNLIMITED,
+            step.max_per_worker or _UNLIMITED_TASKS_PER_WORKER,
             -step.size.cpu_millicores,
         )
-        return _Rank(job.queue.priority, True, Hope.IN_TIME, batch, order, kind)
-    hope, due_ms = _judge(job, kind, state)
-    none = (0, '', 0, 0)
-    return _Rank(job.queue.priority, False, hope, due_ms, none, kind)
+        return _Rank(
+            job.queue.priority, True, Lateness.IN_TIME, batch, order, step_key
+        )
+    lateness, due_ms = _estimate_lateness(job, step_key, state)
+    no_order = (0, '', 0, 0)
+    return _Rank(
+        job.queue.priority, False, lateness, due_ms, no_order, step_key
+    )
 
 
-def get_hope(job: Job, kind: StepKey, state: SchedulerState) -> Hope:
-    """Return how late a job must be at best."""
-    return _judge(job, kind, state)[0]
+def get_hope(job: Job, step_key: StepKey, state: SchedulerState) -> Lateness:
+    """Return the best outcome that a job can still reach."""
+    return _estimate_lateness(job, step_key, state)[0]
 
 
-def _judge(
-    job: Job, kind: StepKey, state: SchedulerState
-) -> tuple[Hope, float]:
-    """Return how late the job must be at best, and when it is due."""
+def _estimate_lateness(
+    job: Job, step_key: StepKey, state: SchedulerState
+) -> tuple[Lateness, float]:
+    """Return the best outcome that a job can still reach, and its due time."""
     mean_ms = get_run_ms(job, state)
     total_ms = max(job.depths, default=1) * mean_ms
     objective_ms = job.queue.stretch * total_ms + job.queue.target_latency_ms
-    begun_ms = _get_begin_ms(job, kind, state)
-    due_ms = begun_ms + objective_ms
-    at_best_ms = state.now_ms + job.depths[kind[2]] * mean_ms
-    if at_best_ms <= due_ms:
-        return Hope.IN_TIME, due_ms
-    if at_best_ms <= begun_ms + _LATE_LIMIT * objective_ms:
-        return Hope.LATE, due_ms
-    return Hope.WORTHLESS, due_ms
-
-
-def _get_begin_ms(job: Job, kind: StepKey, state: SchedulerState) -> int:
-    """Return when the time of a step's work began to count.
-
-    Each time of a scheduled job counts from when it is due: from when the
-    job was accepted, it would be late before its turn.
+    reference_ms = _get_reference_ms(job, step_key, state)
+    due_ms = reference_ms + objective_ms
+    earliest_end_ms = state.now_ms + job.depths[step_key[2]] * mean_ms
+    if earliest_end_ms <= due_ms:
+        return Lateness.IN_TIME, due_ms
+    if earliest_end_ms <= reference_ms + _MAX_OBJECTIVE_MULTIPLE * objective_ms:
+        return Lateness.LATE, due_ms
+    return Lateness.WORTHLESS, due_ms
+
+
+def _get_reference_ms(
+    job: Job, step_key: StepKey, state: SchedulerState
+) -> int:
+    """Return the time from which a step's latency counts.
+
+    An occurrence of a scheduled job counts from its scheduled time: counted
+    from the acceptance of the job, it would be late before its turn.
     """
     schedule = job.request.schedule
     if not schedule.count:
         return job.arrived_ms
-    due_ms = schedule.first_at_ms + kind[1] * schedule.interval_ms
+    due_ms = schedule.first_at_ms + step_key[1] * schedule.interval_ms
     return max(job.arrived_ms, due_ms - state.wall_offset_ms)
--- a/src/tulippin/jobs/_rooms.py
+++ b/src/tulippin/jobs/_rooms.py
@@ -1,4 +1,8 @@
-"""What a unit's owner tells others of its workers' room."""
+"""Summarizes the capacity and demand of a unit for the other units.
+
+The owner publishes the summary with its lease; other owners and instances use
+it to assign jobs, to transfer tasks and to keep headroom.
+"""
 
 from __future__ import annotations
 
@@ -14,66 +18,69 @@
 
 
 def measure(state: SchedulerState) -> UnitRoom:
-    """Return what open workers hold and what is asked of them."""
-    opened = _feasibility.list_open(state)
+    """Return the capacity, reservations and waiting demand of a unit."""
+    available = _feasibility.list_available(state)
     waiting = sum(_sum_waiting(state.ready, state).values())
     waiting_short = _sum_waiting_short(state)
-    waiting_idle = _sum_waiting(state.ready_idle, state)
+    waiting_opportunistic = _sum_waiting(state.ready_idle, state)
     return UnitRoom(
-        _sum_capacity(opened),
-        _sum_reserved(opened) + waiting,
-        sum(map(_sum_running, opened)) + sum(waiting_idle.values()),
+        _sum_capacity(available),
+        _sum_reserved(available) + waiting,
+        sum(map(_sum_opportunistic, available))
+        + sum(waiting_opportunistic.values()),
         max(
-            (one.free for one in opened),
+            (one.free for one in available),
             key=lambda free: free.cpu_millicores,
             default=Resources(),
         ),
-        _get_labels(opened),
-        _count_places(opened, waiting),
-        waiting_idle,
-        _list_serving_images(opened, state),
-        _headroom.get_largest_new(opened, state),
-        _count_places(opened, waiting_short),
+        _get_labels(available),
+        _count_fitting(available, waiting),
+        waiting_opportunistic,
+        _list_serving_images(available, state),
+        _headroom.get_largest_new(available, state),
+        _count_fitting(available, waiting_short),
         tuple(_demand.list_records(state)),
-        _sum_by_service(opened),
+        _sum_by_service(available),
         dict(state.queue_kinds),
     )
 
 
-def measure_asked(state: SchedulerState) -> UnitRoom:
-    """Return what open workers have, and what is reserved, alone."""
-    opened = _feasibility.list_open(state)
+def measure_load(state: SchedulerState) -> UnitRoom:
+    """Return only the capacity of a unit, and what is reserved or waits."""
+    available = _feasibility.list_available(state)
     waiting = sum(_sum_waiting(state.ready, state).values())
-    return UnitRoom(_sum_capacity(opened), _sum_reserved(opened) + waiting)
+    return UnitRoom(
+        _sum_capacity(available), _sum_reserved(available) + waiting
+    )
 
 
-def _sum_capacity(opened: list[Worker]) -> int:
-    return sum(one.entry.capacity.cpu_millicores for one in opened)
+def _sum_capacity(available: list[Worker]) -> int:
+    return sum(one.entry.capacity.cpu_millicores for one in available)
 
 
-def _sum_reserved(opened: list[Worker]) -> int:
-    return sum(one.reserved.cpu_millicores for one in opened)
+def _sum_reserved(available: list[Worker]) -> int:
+    return sum(one.reserved.cpu_millicores for one in available)
 
 
-def _count_places(
-    opened: list[Worker], waiting_millicores: int
+def _count_fitting(
+    available: list[Worker], waiting_millicores: int
 ) -> tuple[int, ...]:
-    """Return how many tasks of each size find a place now."""
+    """Return how many more tasks of each published size fit."""
     counts = (
-        sum(max(0, one.free.cpu_millicores) // size for one in opened)
+        sum(max(0, one.free.cpu_millicores) // size for one in available)
         - waiting_millicores // size
         for size in PLACE_SIZES
     )
     return tuple(itertools.takewhile(lambda count: count > 0, counts))
 
 
-def count_places(
+def count_fitting(
     room: UnitRoom, size_millicores: int, *, is_short: bool = False
 ) -> int:
-    """Return how many tasks of a size find a place, or a few less.
+    """Return a lower bound of how many tasks of a size fit in a unit.
 
-    What is told is counted for sizes a third apart, so the next larger one
-    stands for those below it.
+    Counts are published for sizes a third apart; the next larger size is used
+    for those in between.
     """
     places = room.places
     if is_short and room.short_places is not None:
@@ -85,10 +92,10 @@
 
 
 def has_place(room: UnitRoom, step: Step, *, is_new: bool) -> bool:
-    """Whether the emptiest worker of a unit would take a step's task.
+    """Whether the largest free capacity of a unit fits a step's task.
 
-    A new long-running task that goes where room is kept from it would be
-    passed on and on.
+    A new long-running task also has to leave the unit its headroom; else it
+    would be transferred again and again.
     """
     largest_new = room.largest_new_millicores if is_new else None
     if largest_new is not None and step.reserved.cpu_millicores > largest_new:
@@ -98,7 +105,8 @@
     return room.largest_free.fits(step.reserved)
 
 
-def _sum_running(worker: Worker) -> int:
+def _sum_opportunistic(worker: Worker) -> int:
+    """Return the processors of the opportunistic runs on a worker."""
     return sum(
         attempt.step.size.cpu_millicores for attempt in worker.fillers.values()
     )
@@ -107,10 +115,10 @@
 def _sum_waiting(
     queue: dict[StepKey, dict[TaskKey, Task]], state: SchedulerState
 ) -> dict[str, int]:
-    """Return the processors that a queue's tasks wait for, by image."""
+    """Return the processors that the tasks of a queue wait for, by image."""
     waiting: collections.Counter[str] = collections.Counter()
-    for kind, tasks in queue.items():
-        step = state.jobs[kind[0]].request.steps[kind[2]]
+    for step_key, tasks in queue.items():
+        step = state.jobs[step_key[0]].request.steps[step_key[2]]
         waiting[step.image] += len(tasks) * step.size.cpu_millicores
     return dict(waiting)
 
@@ -118,36 +126,39 @@
 def _sum_waiting_short(state: SchedulerState) -> int:
     """Return the processors that short tasks wait for."""
     total = 0
-    for kind, tasks in state.ready.items():
-        step = state.jobs[kind[0]].request.steps[kind[2]]
+    for step_key, tasks in state.ready.items():
+        step = state.jobs[step_key[0]].request.steps[step_key[2]]
         if not step.long_running:
             total += len(tasks) * step.size.cpu_millicores
     return total
 
 
-def _sum_by_service(opened: list[Worker]) -> dict[str, int]:
-    """Return the processors of workers that take work, by service."""
-    found: collections.Counter[str] = collections.Counter()
-    for one in opened:
-        found[one.entry.service] += one.entry.capacity.cpu_millicores
-    return dict(found)
+def _sum_by_service(available: list[Worker]) -> dict[str, int]:
+    """Return the processors of workers by service."""
+    millicores: collections.Counter[str] = collections.Counter()
+    for one in available:
+        millicores[one.entry.service] += one.entry.capacity.cpu_millicores
+    return dict(millicores)
 
 
 def _list_serving_images(
-    opened: list[Worker], state: SchedulerState
+    available: list[Worker], state: SchedulerState
 ) -> tuple[str, ...]:
-    """Return the images of long-running tasks that run or wait."""
-    steps = [state.jobs[kind[0]].request.steps[kind[2]] for kind in state.ready]
+    """Return the sorted images of long-running tasks that run or wait."""
+    steps = [
+        state.jobs[step_key[0]].request.steps[step_key[2]]
+        for step_key in state.ready
+    ]
     images = {step.image for step in steps if step.long_running}
     images.update(
         attempt.step.image
-        for worker in opened
+        for worker in available
         for attempt in worker.serving.values()
     )
     return tuple(sorted(images))
 
 
 def _get_labels(workers: list[Worker]) -> tuple[str, ...]:
-    """Return the labels of workers, but for their racks."""
+    """Return the sorted labels of workers, without their racks."""
     labels = {label for one in workers for label in one.entry.labels}
     return tuple(sorted(labels - {one.entry.rack for one in workers}))
--- a/src/tulippin/jobs/_rounding.py
+++ b/src/tulippin/jobs/_rounding.py
@@ -1,54 +1,57 @@
-"""Figures as rows keep them: few digits, and no less true for that.
+"""Rounds the figures of stored rows to few significant digits.
 
-A count of decimal places writes 0 for whatever is small enough, and a
-variance of 0 says that something is known for sure. A count of significant
-digits is as good for a variance of 1e-5 as for a time of an hour.
+Rounding to decimal places would turn a small variance into 0, which means that
+a value is certain. Significant digits preserve a variance of 1e-5 as well as a
+time of an hour.
 """
 
 from __future__ import annotations
 
 import typing as t
 
-# A row of ten images has some 600 figures; what is learned from them is
-# compared with limits known to some hundredths.
-_DIGITS: t.Final = 6
-# More than rounding takes from a figure.
-_RAISED: t.Final = 1e-5
+# A row of ten images has about 600 figures; the results computed from them are
+# compared with limits that are accurate to a few hundredths.
+_SIGNIFICANT_DIGITS: t.Final = 6
+# Relative increase that exceeds the rounding error of a figure.
+_RELATIVE_MARGIN: t.Final = 1e-5
 
 
 def round_figure(value: float) -> float:
-    """Return a figure with the digits that are kept."""
-    return float(f'{value:.{_DIGITS}g}')
+    """Return a figure rounded to the stored digits."""
+    return float(f'{value:.{_SIGNIFICANT_DIGITS}g}')
 
 
 def round_all(values: t.Mapping[str, float]) -> dict[str, float]:
-    """Return figures by name with the digits that are kept."""
+    """Return figures by name, rounded to the stored digits."""
     return {name: round_figure(value) for name, value in values.items()}
 
 
 def round_covariances(rows: t.Sequence[t.Sequence[float]]) -> list[list[float]]:
-    """Return a covariance matrix with the digits that are kept.
+    """Return a covariance matrix rounded to the stored digits.
 
-    Where two images are always seen together, little is known of each and
-    much of their sum: the variance of the sum is what large figures differ
-    by, and rounding those could leave it negative. So each variance is
-    raised by what rounding changed beside it, which makes the whole no
-    surer in any direction.
+    If two images are always seen together, the variance of their sum is a
+    small difference of large figures, and rounding could make it negative. So
+    each variance is increased by the rounding errors of its covariances, which
+    never lowers the variance in any direction.
 
     Parameters
     ----------
     rows : sequence of sequences of float
         For each image the variance, and the covariances with those after it.
     """
-    doubts = [0.0 for _ in rows]
+    rounding_errors = [0.0 for _ in rows]
     rounded = []
-    for place, row in enumerate(rows):
-        kept = [round_figure(value) for value in row]
-        for after, (new, old) in enumerate(zip(kept, row, strict=True)):
-            if after:
-                doubts[place] += abs(new - old)
-                doubts[place + after] += abs(new - old)
-        rounded.append(kept)
-    for kept, row, doubt in zip(rounded, rows, doubts, strict=True):
-        kept[0] = round_figure((row[0] + doubt) * (1 + _RAISED))
+    for row_index, row in enumerate(rows):
+        rounded_row = [round_figure(value) for value in row]
+        for offset, (new, old) in enumerate(zip(rounded_row, row, strict=True)):
+            if offset:
+                rounding_errors[row_index] += abs(new - old)
+                rounding_errors[row_index + offset] += abs(new - old)
+        rounded.append(rounded_row)
+    for rounded_row, row, rounding_error in zip(
+        rounded, rows, rounding_errors, strict=True
+    ):
+        rounded_row[0] = round_figure(
+            (row[0] + rounding_error) * (1 + _RELATIVE_MARGIN)
+        )
     return rounded
--- a/src/tulippin/jobs/_scoring.py
+++ b/src/tulippin/jobs/_scoring.py
@@ -1,4 +1,4 @@
-"""How the product's policies rank workers that are feasible already."""
+"""Scores of feasible workers under the placement policies."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
     RandomPolicy,
 )
 
-# What expected harm counts beside a whole worker's load.
+# Weight of the expected harm relative to the load of a fully used worker.
 _HARM_WEIGHT: t.Final = 1.0
 _RANDOM_RANGE: t.Final = 0xFFFFFFFF
 
 
-def _get_pressure(worker: Worker) -> float:
+def _get_used_share(worker: Worker) -> float:
+    """Return the share of a worker's processors in use."""
     capacity = max(1, worker.entry.capacity.cpu_millicores)
     return _interference.get_used(worker) / capacity
 
@@ -36,9 +37,9 @@
     step: Step,
     state: SchedulerState,
 ) -> float | None:
-    """Return how little a policy likes a worker for an idle-time task.
+    """Return a policy's cost of a worker for an opportunistic task.
 
-    The lowest wins; nothing says that the worker is out of the question.
+    The lowest wins; None excludes the worker.
     """
     raise NotImplementedError(type(policy))
 
@@ -51,8 +52,8 @@
     step: Step,
     state: SchedulerState,
 ) -> float:
-    drawn = f'{worker.worker_id}{task.key.format()}{task.run_count}'
-    return zlib.crc32(drawn.encode()) / _RANDOM_RANGE
+    seed = f'{worker.worker_id}{task.key.format()}{task.run_count}'
+    return zlib.crc32(seed.encode()) / _RANDOM_RANGE
 
 
 @score_idle.register
@@ -63,7 +64,7 @@
     step: Step,
     state: SchedulerState,
 ) -> float:
-    return _get_pressure(worker)
+    return _get_used_share(worker)
 
 
 @score_idle.register
@@ -74,7 +75,7 @@
     step: Step,
     state: SchedulerState,
 ) -> float:
-    return -_get_pressure(worker)
+    return -_get_used_share(worker)
 
 
 @score_idle.register
@@ -88,11 +89,11 @@
     harm = _interference.get_harm(step, worker, state)
     if harm is None:
         return None
-    return _get_pressure(worker) + _HARM_WEIGHT * harm
+    return _get_used_share(worker) + _HARM_WEIGHT * harm
 
 
 def fits_elsewhere(attempt: Attempt, context: Context) -> bool:
-    """Whether another worker would take a run's task now."""
+    """Whether another worker accepts the task of a run now."""
     found = _attempts.find_task(attempt.key, context)
     if found is None:
         return False
--- a/src/tulippin/jobs/_spares.py
+++ b/src/tulippin/jobs/_spares.py
@@ -1,9 +1,10 @@
-"""Workers named ahead for long-running tasks that soon need another one.
+"""Standby workers for long-running tasks that soon have to move.
 
-An order to start a long-running task waits until it is durable that the task
-may run there, which takes a slow store a second and more. A worker that leaves
-tells so seconds before, and the lease of a silent one is waited out: where a
-task goes next is made durable meanwhile, so that its order waits for nothing.
+An order to start a long-running task is sent only once it is durable that the
+task may run on that worker, which takes a second or more with a slow store. A
+worker announces that it leaves seconds before, and the lease of a silent one
+has to expire. In that time standby workers are made durable, so that the next
+start order of the task is sent without delay.
 """
 
 from __future__ import annotations
@@ -15,33 +16,37 @@
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
 
-_Lasting: t.TypeAlias = tuple[Job, Task, Step]
+_LongRunningTask: t.TypeAlias = tuple[Job, Task, Step]
 
-_EVERY_MS: t.Final = 200
-_SPARES_EACH: t.Final = 2
-# The most tasks in one go, as all workers are weighed for each.
-_MOST_CHOSEN: t.Final = 8
+_CHECK_INTERVAL_MS: t.Final = 200
+_STANDBYS_PER_TASK: t.Final = 2
+# Maximum of tasks per tick, as all workers are scored for each.
+_MAX_TASKS_PER_TICK: t.Final = 8
 
 
 def tick(context: Context) -> None:
-    """Name workers for tasks that need another one, and forget others."""
+    """Assign standby workers to tasks that need them, and clear others."""
     state = context.state
-    is_due = state.now_ms - state.spares_looked_ms >= _EVERY_MS
+    is_due = state.now_ms - state.spares_looked_ms >= _CHECK_INTERVAL_MS
     if not (context.may_order and is_due):
         return
     state.spares_looked_ms = state.now_ms
-    needy: list[_Lasting] = []
+    unprepared: list[_LongRunningTask] = []
     for worker in state.workers.values():
-        tasks = _list_lasting(worker, context)
-        if _is_in_need(worker):
-            needy.extend(one for one in tasks if _lacks_spare(*one, state))
+        tasks = _list_long_running(worker, context)
+        if _has_to_be_vacated(worker):
+            unprepared.extend(
+                one for one in tasks if _lacks_standby(*one, state)
+            )
         else:
-            _forget(tasks, state)
-    for job, task, step in needy[:_MOST_CHOSEN]:
-        _name_spares(job, task, step, state)
+            _clear_standbys(tasks, state)
+    for job, task, step in unprepared[:_MAX_TASKS_PER_TICK]:
+        _assign_standbys(job, task, step, state)
 
 
-def _list_lasting(worker: Worker, context: Context) -> list[_Lasting]:
+def _list_long_running(
+    worker: Worker, context: Context
+) -> list[_LongRunningTask]:
     """Return the long-running tasks that run on a worker."""
     tasks = []
     for attempt in worker.attempts.values():
@@ -52,38 +57,43 @@
     return tasks
 
 
-def _is_in_need(worker: Worker) -> bool:
+def _has_to_be_vacated(worker: Worker) -> bool:
+    """Whether the tasks of a worker will soon have to move."""
     return worker.entry.draining or worker.failed_count > 0
 
 
-def _lacks_spare(
+def _lacks_standby(
     job: Job, task: Task, step: Step, state: SchedulerState
 ) -> bool:
-    """Whether no worker that is named for a task would take it by now.
+    """Whether none of a task's standby workers is feasible for it now.
 
-    Where one under suspicion goes is decided as it is started.
+    Suspected tasks get none, as their worker is decided when they start.
     """
     if task.crashes:
         return False
-    named = [state.workers.get(worker_id) for worker_id in task.spares]
+    standbys = [state.workers.get(worker_id) for worker_id in task.spares]
     return not any(
         _feasibility.is_feasible(worker, job, task, step, state)
-        for worker in named
+        for worker in standbys
         if worker is not None
     )
 
 
-def _name_spares(
+def _assign_standbys(
     job: Job, task: Task, step: Step, state: SchedulerState
 ) -> None:
-    best = _choosing.list_best(job, task, step, state)
-    spares = frozenset(one.worker_id for one in best[:_SPARES_EACH])
+    """Assign the best workers as standby workers of a task."""
+    best = _choosing.rank_workers(job, task, step, state)
+    spares = frozenset(one.worker_id for one in best[:_STANDBYS_PER_TASK])
     if spares != task.spares:
         task.spares = spares
         _lifecycle.mark_dirty(job, state)
 
 
-def _forget(tasks: t.Iterable[_Lasting], state: SchedulerState) -> None:
+def _clear_standbys(
+    tasks: t.Iterable[_LongRunningTask], state: SchedulerState
+) -> None:
+    """Clear the standby workers of tasks that no longer have to move."""
     for job, task, _ in tasks:
         if task.spares:
             task.spares = frozenset()
@@ -91,7 +101,7 @@
 
 
 def is_prepared(job: Job, task: Task) -> bool:
-    """Whether an order to one of the workers named for a task can go out."""
+    """Whether one of a task's standby workers is durable."""
     return any(
         _lifecycle.is_place_durable(job, task.key, worker_id)
         for worker_id in task.spares
--- a/src/tulippin/jobs/_starting.py
+++ b/src/tulippin/jobs/_starting.py
@@ -1,4 +1,4 @@
-"""Starting a run: its place is reserved, then its order is sent."""
+"""Starts runs: reserves capacity on a worker, then sends the start order."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 def add_run(
     job: Job, step: Step, task: Task, worker: Worker, context: Context
 ) -> Attempt:
-    """Reserve the place of a new run."""
+    """Create a run of a task and reserve its capacity on a worker.
+
+    The run is ordered to start by ``send``.
+    """
     state = context.state
     run = context.fencing_token * RUNS_PER_EPOCH + task.run_count
     run += task.least_run
@@ -55,29 +58,29 @@
 
 
 def send(attempt: Attempt, job: Job, context: Context) -> None:
-    """Order a run whose place is reserved to start, or once it is durable.
+    """Order a reserved run to start, now or once its worker is durable.
 
-    Where it was started is kept of each run, and long-running tasks and
-    those under suspicion wait for that: the next owner has to know of them.
-    Of others it does 0.1 s later.
+    The worker of each run is stored. Long-running and suspected tasks wait
+    until it is durable, as the next owner has to know about them. For others
+    it becomes durable 0.1 s later.
     """
     state = context.state
     _lifecycle.mark_begun(job, state)
     _lifecycle.mark_dirty(job, state)
     if attempt.is_ordered:
-        _order(attempt, job, context)
+        _send_order(attempt, job, context)
     else:
         state.unsent.append(attempt)
 
 
 def send_durable(context: Context) -> None:
-    """Send the orders that waited until the next owner would know of them."""
+    """Send the start orders that have become durable."""
     for attempt in _crashes.take_durable(context):
-        _order(attempt, context.state.jobs[attempt.key.job_id], context)
+        _send_order(attempt, context.state.jobs[attempt.key.job_id], context)
 
 
-def _order(attempt: Attempt, job: Job, context: Context) -> None:
-    """Send the order to start a run."""
+def _send_order(attempt: Attempt, job: Job, context: Context) -> None:
+    """Send the start order of a run, with the deadline until it is valid."""
     state = context.state
     worker = state.workers[attempt.worker_id]
     task = job.tasks[attempt.key]
--- a/tests/tulippin/jobs/test_balancing.py
+++ b/tests/tulippin/jobs/test_balancing.py
@@ -109,9 +109,9 @@
 
 def test_sizes_between_two_told_count_as_the_larger():
     room = UnitRoom(CAPACITY, 0, places=(90, 40, 25, 18, 11))
-    assert _rooms.count_places(room, 5300) == 11
-    assert _rooms.count_places(room, 1000) == 90
-    assert _rooms.count_places(room, 7000) == 0
+    assert _rooms.count_fitting(room, 5300) == 11
+    assert _rooms.count_fitting(room, 1000) == 90
+    assert _rooms.count_fitting(room, 7000) == 0
 
 
 def test_urgent_job_goes_where_only_long_running_work_waits():
@@ -134,8 +134,8 @@
         job = make_job(state, f'{number}', state.now_ms, (step,))
         _ready.add(Task(TaskKey(job.job_id, 0, 0, 0)), step, state)
     room = _rooms.measure(state)
-    assert _rooms.count_places(room, 3000) == 0
-    assert _rooms.count_places(room, 3000, is_short=True) == 6
+    assert _rooms.count_fitting(room, 3000) == 0
+    assert _rooms.count_fitting(room, 3000, is_short=True) == 6
 
 
 def let_wait(unit, **images):
--- a/tests/tulippin/jobs/test_headroom.py
+++ b/tests/tulippin/jobs/test_headroom.py
@@ -294,6 +294,6 @@
         lambda *arguments: counted.append(1) or measure(*arguments),
     )
     context = Context(state)
-    _placing._Pass(context, state.ready).run()
+    _placing._PlacementPass(context, state.ready).run()
     assert not context.effects
     assert len(counted) <= 2
--- a/tests/tulippin/jobs/test_odd_rooms.py
+++ b/tests/tulippin/jobs/test_odd_rooms.py
@@ -13,8 +13,8 @@
 from tulippin.codec_json import encode
 from tulippin.jobs import _demand
 from tulippin.jobs._evening import choose_units
-from tulippin.jobs._passing import _get_fullness, _is_inviting
-from tulippin.jobs._rooms import count_places, has_place, measure_asked
+from tulippin.jobs._passing import _accepts_transfers, _get_load
+from tulippin.jobs._rooms import count_fitting, has_place, measure_load
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.ports import StoredRow
 from tulippin.jobs.records import (
@@ -68,11 +68,11 @@
         if record is None:
             continue
         state.rooms[number] = record.room
-        _is_inviting(record.room)
-        assert float(_get_fullness(record.room)) >= -MOST_ASKED
-        count_places(record.room, 1000)
+        _accepts_transfers(record.room)
+        assert float(_get_load(record.room)) >= -MOST_ASKED
+        count_fitting(record.room, 1000)
         has_place(record.room, make_step(), is_new=True)
-        count_places(record.room, 1000, is_short=True)
+        count_fitting(record.room, 1000, is_short=True)
         _demand.estimate('catalogue', 9, 16_000, state)
         state.ownership.lease = LeaseRecord('s', 'i', room=record.room)
         _demand.take_over(state)
@@ -107,7 +107,7 @@
     [
         UnitRoom(),
         UnitRoom(16_000, MOST_ASKED, MOST_ASKED, Resources(-9000, -1, 0)),
-        measure_asked(SchedulerState(SchedulerConfig('i', 'i:1'))),
+        measure_load(SchedulerState(SchedulerConfig('i', 'i:1'))),
     ],
 )
 def test_room_that_an_owner_can_come_to_is_read(room):
--- a/tests/tulippin/jobs/test_ranking.py
+++ b/tests/tulippin/jobs/test_ranking.py
@@ -4,7 +4,7 @@
 from test_scheduler_decisions import QUEUE, make_job, make_state
 
 from tulippin.jobs import _ranking
-from tulippin.jobs._ranking import Hope
+from tulippin.jobs._ranking import Lateness
 from tulippin.jobs.types import Step
 from tulippin.types import Resources
 
@@ -21,7 +21,7 @@
 # Guards against first jobs that count as worthless before any run has ended.
 @pytest.mark.parametrize(
     ('waited_ms', 'hope'),
-    [(0, Hope.IN_TIME), (3000, Hope.IN_TIME), (9000, Hope.LATE)],
+    [(0, Lateness.IN_TIME), (3000, Lateness.IN_TIME), (9000, Lateness.LATE)],
 )
 def test_guess_stands_for_a_run_time_that_is_not_known(waited_ms, hope):
     state = make_state()
@@ -31,4 +31,4 @@
 def test_known_run_time_goes_before_the_guess():
     state = make_state()
     state.run_times_ms[QUEUE.name] = 100.0
-    assert judge(state, 3000) is Hope.WORTHLESS
+    assert judge(state, 3000) is Lateness.WORTHLESS
--- a/tests/tulippin/jobs/test_scheduler_decisions.py
+++ b/tests/tulippin/jobs/test_scheduler_decisions.py
@@ -343,7 +343,7 @@
     make_job(state, 'late', NOW_MS - 4000, (Step(1),))
     make_job(state, 'hopeful', NOW_MS - 100, (Step(1),))
     queue = {(name, 0, 0): {} for name in state.jobs}
-    order = [kind[0] for kind in _ranking.sort_kinds(queue, state)]
+    order = [kind[0] for kind in _ranking.sort_steps(queue, state)]
     assert order == ['hopeful', 'late', 'lost']
 
 
@@ -365,7 +365,7 @@
     for job_id, step in (('a', small), ('b', large), ('c', spread)):
         make_job(state, job_id, NOW_MS, (step,))
     queue = {(name, 0, 0): {0: None} for name in state.jobs}
-    order = [kind[0] for kind in _ranking.sort_kinds(queue, state)]
+    order = [kind[0] for kind in _ranking.sort_steps(queue, state)]
     assert order == ['c', 'b', 'a']
 
 
--- a/tests/tulippin/jobs/test_scheduler_waiting_review.py
+++ b/tests/tulippin/jobs/test_scheduler_waiting_review.py
@@ -460,4 +460,4 @@
         known_ms=NOW_MS - 15_000,
     )
     state.jobs['a'] = job
-    assert _ranking._judge(job, ('a', 0, 0), state)[0] == 0
+    assert _ranking._estimate_lateness(job, ('a', 0, 0), state)[0] == 0
--- a/tests/tulippin/jobs/test_unknown_rooms.py
+++ b/tests/tulippin/jobs/test_unknown_rooms.py
@@ -294,7 +294,7 @@
     state = make_state(worker)
     add_run(worker, 0, SERVES, 20.0)
     add_run(worker, 1, FILLS, USED_MILLICORES)
-    assert not _feasibility.takes_work(worker, state)
+    assert not _feasibility.accepts_runs(worker, state)
     assert not worker.has_room(make_step(cpu=0).size)
     assert _rooms.measure(state).capacity_millicores == 0
     assert _interference.get_harm(FILLS, worker, state) is None
--- a/tests/tulippin/jobs/test_unknown_rooms_review.py
+++ b/tests/tulippin/jobs/test_unknown_rooms_review.py
@@ -41,7 +41,7 @@
     worker = make_worker(None)
     state = make_state(worker)
     task = Task(TaskKey(OTHER, 0, 0, 0))
-    assert not _choosing.is_kept_by_memory(task, FILLS, state)
+    assert not _choosing.is_limited_by_memory(task, FILLS, state)
 
 
 def test_idle_tail_is_a_part_of_the_target_at_least():
--- a/tests/tulippin/jobs/test_worker_rooms.py
+++ b/tests/tulippin/jobs/test_worker_rooms.py
@@ -151,7 +151,7 @@
 
 
 def test_room_that_is_not_heard_of_would_be_overrun(run_virtual, monkeypatch):
-    monkeypatch.setattr(_feasibility, '_is_room_sure', lambda *_: True)
+    monkeypatch.setattr(_feasibility, '_is_capacity_confirmed', lambda *_: True)
     assert find_over_room(run_virtual, run_without_list)
 
 
@@ -174,7 +174,7 @@
     """A worker 3.5 cores over its room took four places of one core."""
     state = make_state(make_worker(0, 2000, 5500), make_worker(1, 8000, 0))
     assert _rooms.measure(state).places[0] == 8
-    assert _headroom.get_hole(state.workers['w0']) == 2000
+    assert _headroom.get_unoccupied(state.workers['w0']) == 2000
     assert not state.workers['w0'].has_room(Resources(1, 0))
     assert state.workers['w0'].has_room(Resources(-4000, 0))
 
@@ -184,11 +184,11 @@
     worker = state.workers['w0']
     worker.entry_ms = state.now_ms
     state.configuration = _read_configuration(guards_room=False)
-    assert _feasibility.takes_work(worker, state)
+    assert _feasibility.accepts_runs(worker, state)
     worker.strays['task', 1] = 0
-    assert not _feasibility.takes_work(worker, state)
+    assert not _feasibility.accepts_runs(worker, state)
     state.configuration = _read_configuration(guards_room=True)
-    assert _feasibility.takes_work(worker, state)
+    assert _feasibility.accepts_runs(worker, state)
 
 
 def _read_configuration(*, guards_room):
