--- a/src/tulippin/jobs/_preempting.py
+++ b/src/tulippin/jobs/_preempting.py
@@ -71,7 +71,7 @@
     for attempt in best:
         state.count('preemptions')
         _attempts.stop_attempt(
-            attempt, context, f'room for {task.key.format()}'
+            attempt, context, f'preempted for {task.key.format()}'
         )
     return len(best)
 
--- a/tests/tulippin/jobs/test_availability.py
+++ b/tests/tulippin/jobs/test_availability.py
@@ -1,8 +1,8 @@
-"""Tasks of a lasting step that are away at once by the system's doing.
+"""The limit of a step's tasks that the system makes unavailable at once.
 
-The users tell for a step how many of its tasks may be away at once. Tasks
-were moved off unwell workers one at a time for each worker, with no count
-for the step.
+A request says how many tasks of a long-running step may be unavailable at the
+same time. Tasks were moved off unhealthy workers one at a time per worker,
+without a count per step.
 """
 
 import attrs
@@ -40,15 +40,15 @@
 NOW_MS = 100_000
 JOB = '00000000000000aa'
 LIMIT_MS = 3000
-# Tasks are at work so long after their start.
+# Time from the start of a task until it serves.
 STARTING_MS = 1500
 
 
 # -- the decision ------------------------------------------------------------
 
 
-def make_served(max_unavailable=1, task_count=3, **options):
-    """Let each task of a lasting step be at work on a worker of its own."""
+def make_serving_state(max_unavailable=1, task_count=3, **options):
+    """Return a state with a long-running step, each task on its own worker."""
     step = Step(
         task_count,
         Resources(1000, 1000),
@@ -99,88 +99,90 @@
     return _availability.may_end(get_attempt(job, 0), Context(state))
 
 
-def test_task_may_be_ended_while_all_others_work():
-    assert may_end_first(*make_served())
+def test_run_may_be_ended_while_all_other_tasks_serve():
+    assert may_end_first(*make_serving_state())
 
 
-def leave_waiting(state, job):
+def remove_runs(state, job):
     job.tasks[TaskKey(JOB, 0, 0, 1)].attempts.clear()
 
 
-def leave_unmet(state, job):
+def remove_task(state, job):
     del job.tasks[TaskKey(JOB, 0, 0, 1)]
 
 
-def let_start(state, job):
+def set_starting(state, job):
     get_attempt(job, 1).state = AttemptState.STARTING
 
 
-def let_doubt(state, job):
+def set_doubtful(state, job):
     get_attempt(job, 1).state = AttemptState.DOUBTFUL
 
 
-def let_stop(state, job):
+def set_stopping(state, job):
     get_attempt(job, 1).state = AttemptState.STOPPING
 
 
-def let_warm_up(state, job):
+def set_warming_up(state, job):
     get_attempt(job, 1).progress_percent = 99
 
 
-def silence(state, job):
+def fail_contact(state, job):
     state.workers['w1'].failed_count = 1
 
 
-def leave_unheard(state, job):
+def age_last_report(state, job):
     state.workers['w1'].answered_ms = NOW_MS - 1700
 
 
-def pass_on(state, job):
+def transfer(state, job):
     job.passed[TaskKey(JOB, 0, 0, 1)] = PassedTask(2, 1, 0)
 
 
-ABSENCES = [
-    leave_waiting,
-    leave_unmet,
-    let_start,
-    let_doubt,
-    let_stop,
-    let_warm_up,
-    silence,
-    leave_unheard,
-    pass_on,
+UNAVAILABLE_STATES = [
+    remove_runs,
+    remove_task,
+    set_starting,
+    set_doubtful,
+    set_stopping,
+    set_warming_up,
+    fail_contact,
+    age_last_report,
+    transfer,
 ]
 
 
-@pytest.mark.parametrize('absent', ABSENCES)
-def test_task_may_not_be_ended_while_another_is_away(absent):
-    state, job = make_served()
-    absent(state, job)
+@pytest.mark.parametrize('make_unavailable', UNAVAILABLE_STATES)
+def test_run_may_not_be_ended_while_another_task_is_unavailable(
+    make_unavailable,
+):
+    state, job = make_serving_state()
+    make_unavailable(state, job)
     assert not may_end_first(state, job)
 
 
-@pytest.mark.parametrize('absent', ABSENCES)
-def test_bound_of_two_bears_one_that_is_away(absent):
-    state, job = make_served(max_unavailable=2)
-    absent(state, job)
+@pytest.mark.parametrize('make_unavailable', UNAVAILABLE_STATES)
+def test_limit_of_two_allows_one_unavailable_task(make_unavailable):
+    state, job = make_serving_state(max_unavailable=2)
+    make_unavailable(state, job)
     assert may_end_first(state, job)
     get_attempt(job, 2).state = AttemptState.STOPPING
     assert not may_end_first(state, job)
 
 
-@pytest.mark.parametrize('absent', ABSENCES)
-def test_step_without_a_bound_is_not_counted(absent):
-    state, job = make_served(max_unavailable=0)
-    absent(state, job)
+@pytest.mark.parametrize('make_unavailable', UNAVAILABLE_STATES)
+def test_step_without_a_limit_is_not_counted(make_unavailable):
+    state, job = make_serving_state(max_unavailable=0)
+    make_unavailable(state, job)
     assert may_end_first(state, job)
 
 
-def test_guest_counts_tasks_of_other_units_as_away():
-    state, job = make_served()
+def test_transferred_job_counts_tasks_of_other_units_as_unavailable():
+    state, job = make_serving_state()
     key = TaskKey(JOB, 0, 0, 1)
     job.is_guest = True
     job.passes = {TaskKey(JOB, 0, 0, index): 1 for index in (0, 2)}
-    # It has never met the task.
+    # The unit has never had the task.
     task = job.tasks.pop(key)
     assert not may_end_first(state, job)
     job.passes[key] = 1
@@ -189,7 +191,7 @@
 
 
 def test_tasks_of_another_step_or_occurrence_are_not_counted():
-    state, job = make_served()
+    state, job = make_serving_state()
     other = attrs.evolve(job.request.steps[0], task_count=5)
     job.request = attrs.evolve(job.request, steps=(*job.request.steps, other))
     get_task(job, TaskKey(JOB, 1, 0, 1))
@@ -200,7 +202,7 @@
     ('max_unavailable', 'is_allowed'), [(1, False), (2, False), (3, True)]
 )
 def test_gang_ends_as_a_whole(max_unavailable, is_allowed):
-    state, job = make_served(max_unavailable, gang=True)
+    state, job = make_serving_state(max_unavailable, gang=True)
     assert may_end_first(state, job) is is_allowed
 
 
@@ -217,23 +219,25 @@
     worker.entry = attrs.evolve(worker.entry, draining=True)
 
 
-def be_unwell_for_long(state, job):
+def make_unhealthy_for_long(state, job):
     state.workers['w0'].unwell_since_ms = NOW_MS - 3500
 
 
-@pytest.mark.parametrize('free', [cancel, fail, drain, be_unwell_for_long])
-def test_bound_ends_with_the_job_or_with_its_worker(free):
-    state, job = make_served()
-    let_stop(state, job)
+@pytest.mark.parametrize(
+    'exempt', [cancel, fail, drain, make_unhealthy_for_long]
+)
+def test_limit_ends_with_the_job_or_its_worker(exempt):
+    state, job = make_serving_state()
+    set_stopping(state, job)
     assert not may_end_first(state, job)
-    free(state, job)
+    exempt(state, job)
     assert may_end_first(state, job)
 
 
-def test_worker_beside_whose_tasks_others_work_is_not_surely_at_fault():
-    state, job = make_served()
-    let_stop(state, job)
-    be_unwell_for_long(state, job)
+def test_worker_with_opportunistic_tasks_is_not_confirmed_unhealthy():
+    state, job = make_serving_state()
+    set_stopping(state, job)
+    make_unhealthy_for_long(state, job)
     filler = Attempt(
         TaskKey('b', 0, 0, 0),
         1,
@@ -249,8 +253,8 @@
     assert may_end_first(state, job)
 
 
-def judge_unwell(state, job, worker_id):
-    """Judge a worker whose tails are absurd, beside two that are well."""
+def judge_unhealthy(state, job, worker_id):
+    """Judge a worker with extreme tails while two siblings are healthy."""
     worker = state.workers[worker_id]
     for attempt in worker.serving.values():
         attempt.load = 33_000.0
@@ -264,11 +268,13 @@
 @pytest.mark.parametrize(
     ('max_unavailable', 'stopped'), [(1, 1), (2, 2), (0, 3)]
 )
-def test_unwell_workers_are_emptied_within_the_bound(max_unavailable, stopped):
-    state, job = make_served(max_unavailable)
+def test_unhealthy_workers_are_vacated_within_the_limit(
+    max_unavailable, stopped
+):
+    state, job = make_serving_state(max_unavailable)
     add_worker(state, 'w9')
     for index in range(3):
-        judge_unwell(state, job, f'w{index}')
+        judge_unhealthy(state, job, f'w{index}')
     attempts = [get_attempt(job, index) for index in range(3)]
     states = [one.state for one in attempts]
     assert states.count(AttemptState.STOPPING) == stopped
@@ -277,8 +283,8 @@
 @pytest.mark.parametrize(
     ('max_unavailable', 'stopped'), [(1, 1), (2, 2), (0, 3)]
 )
-def test_tasks_that_rest_are_moved_within_the_bound(max_unavailable, stopped):
-    state, job = make_served(
+def test_paused_tasks_are_moved_within_the_limit(max_unavailable, stopped):
+    state, job = make_serving_state(
         max_unavailable, target_ms=0, opportunistic=True, checkpointing=True
     )
     add_worker(state, 'w9')
@@ -295,8 +301,8 @@
 
 
 @pytest.fixture
-def mad(monkeypatch):
-    """Return the workers with absurd tails; tasks take time to start."""
+def unhealthy_workers(monkeypatch):
+    """Return the workers with extreme tails; tasks take time to start."""
     workers = set()
 
     def get_load(worker, plan):
@@ -312,7 +318,7 @@
 
 
 async def serve(fleet, count, max_unavailable):
-    """Let tasks that serve be at work; return where the first ones are."""
+    """Start serving tasks; return the workers that run them."""
     step = make_step(
         count,
         long_running=True,
@@ -328,8 +334,8 @@
     return [one for one in fleet.platform.workers.values() if one.runs]
 
 
-def list_others_away(history):
-    """Return for each stop how many other tasks were not at work then."""
+def list_others_unavailable(history):
+    """Return for each stop how many other tasks were not serving then."""
     counts = []
     runs = {}
     for event in history:
@@ -341,80 +347,90 @@
                 since = {
                     key: at for key, at in runs.items() if key != event.key
                 }
-                away = sum(at > event.at_ms for at in since.values())
-                counts.append(away)
+                unavailable_count = sum(
+                    at > event.at_ms for at in since.values()
+                )
+                counts.append(unavailable_count)
     return counts
 
 
-async def go_mad(worker, mad):
-    """Show absurd tails for a while, as by chance."""
-    mad.add(worker.worker_id)
+async def show_extreme_tails(worker, unhealthy_workers):
+    """Show extreme tails for a limited time."""
+    unhealthy_workers.add(worker.worker_id)
     await trio.sleep(3.2)
-    mad.remove(worker.worker_id)
+    unhealthy_workers.remove(worker.worker_id)
 
 
 @pytest.mark.parametrize('pause_s', [0.0, 0.3, 0.7, 1.2])
 @pytest.mark.parametrize('max_unavailable', [1, 2])
-def test_workers_that_go_mad_in_turn_are_emptied_within_the_bound(
-    run_virtual, mad, max_unavailable, pause_s
+def test_workers_unhealthy_in_turn_are_vacated_within_the_limit(
+    run_virtual, unhealthy_workers, max_unavailable, pause_s
 ):
     async def run():
         async with open_fleet(instances=2, workers=8) as fleet:
             serving = await serve(fleet, 5, max_unavailable)
             for worker in serving[:3]:
-                fleet.nursery.start_soon(go_mad, worker, mad)
+                fleet.nursery.start_soon(
+                    show_extreme_tails, worker, unhealthy_workers
+                )
                 await trio.sleep(pause_s)
             await trio.sleep(12)
             fleet.check()
             assert fleet.count_running() == 5
-            return list_others_away(fleet.platform.history)
+            return list_others_unavailable(fleet.platform.history)
 
     counts = run_virtual(run)
     assert counts
     assert max(counts) < max_unavailable
 
 
-def test_workers_that_stay_mad_are_left_in_the_end(run_virtual, mad):
+def test_workers_that_stay_unhealthy_are_vacated_eventually(
+    run_virtual, unhealthy_workers
+):
     async def run():
         async with open_fleet(instances=2, workers=8) as fleet:
             serving = await serve(fleet, 5, 1)
-            mad.update(worker.worker_id for worker in serving[:3])
+            unhealthy_workers.update(worker.worker_id for worker in serving[:3])
             await trio.sleep(6)
             fleet.check()
-            left = {
+            vacated_ids = {
                 event.worker_id
                 for event in fleet.platform.history
                 if event.outcome is RunOutcome.STOPPED
             }
-            return left, set(mad)
+            return vacated_ids, set(unhealthy_workers)
 
-    left, mad_ones = run_virtual(run)
-    assert left == mad_ones
+    vacated_ids, unhealthy_ids = run_virtual(run)
+    assert vacated_ids == unhealthy_ids
 
 
-def test_without_a_bound_workers_are_emptied_side_by_side(run_virtual, mad):
+def test_without_a_limit_workers_are_vacated_in_parallel(
+    run_virtual, unhealthy_workers
+):
     async def run():
         async with open_fleet(instances=2, workers=8) as fleet:
             serving = await serve(fleet, 5, 0)
-            mad.update(worker.worker_id for worker in serving[:3])
+            unhealthy_workers.update(worker.worker_id for worker in serving[:3])
             await trio.sleep(2.5)
-            return list_others_away(fleet.platform.history)
+            return list_others_unavailable(fleet.platform.history)
 
     assert run_virtual(run) == [0, 1, 2]
 
 
-# A worker that leaves takes its tasks with it: none has to stay for the
-# bound, and those elsewhere are not moved while they are away.
-def test_worker_that_leaves_is_emptied_whatever_the_bound(run_virtual, mad):
+# Tasks end together with a draining worker, so they move regardless of the
+# limit, and tasks on other workers are not moved in the meantime.
+def test_draining_worker_is_vacated_regardless_of_the_limit(
+    run_virtual, unhealthy_workers
+):
     async def run():
         async with open_fleet(instances=2, workers=8) as fleet:
             serving = await serve(fleet, 5, 1)
-            mad.add(serving[0].worker_id)
+            unhealthy_workers.add(serving[0].worker_id)
             for worker in serving[2:4]:
                 fleet.platform.drain(worker.worker_id, 4000)
             await trio.sleep(3.2)
             assert not any(worker.runs for worker in serving[2:4])
-            mad.clear()
+            unhealthy_workers.clear()
             await trio.sleep(3)
             fleet.check()
             assert fleet.count_running() == 5
@@ -427,8 +443,8 @@
             return leaving, history
 
     leaving, history = run_virtual(run)
-    counts = list_others_away(history)
+    counts = list_others_unavailable(history)
     stops = [one for one in history if one.outcome is RunOutcome.STOPPED]
     stops = [one for one in stops if one.kind == 'ended']
-    for stop, away in zip(stops, counts, strict=True):
-        assert stop.worker_id in leaving or away == 0
+    for stop, unavailable_count in zip(stops, counts, strict=True):
+        assert stop.worker_id in leaving or unavailable_count == 0
--- a/tests/tulippin/jobs/test_demand.py
+++ b/tests/tulippin/jobs/test_demand.py
@@ -1,4 +1,4 @@
-"""What short tasks ask for, over all units and owners."""
+"""The estimated demand of short tasks, over all units and owners."""
 
 import attrs
 import pytest
@@ -16,17 +16,17 @@
 from tulippin.types import Resources
 
 CAPACITY = 10_000
-LASTING = attrs.evolve(QUEUE, name='lasting')
+LONG_RUNNING = attrs.evolve(QUEUE, name='lasting')
 
 
-def make_watched(for_ms=60_000):
-    """Return the state of an owner that has watched for so long."""
+def make_observed_state(for_ms=60_000):
+    """Return the state of an owner that took its unit ``for_ms`` ago."""
     state = make_state()
     state.ownership.taken_ms = state.now_ms - for_ms
     return state
 
 
-def ask(state, count=4, cpu=2000, times=1, queue=QUEUE):
+def add_demand(state, count=4, cpu=2000, times=1, queue=QUEUE):
     step = Step(count, Resources(cpu, 1000), estimated_ms=1000)
     job = Job('0' * 16, queue, JobRequest('', (step,)), 1)
     for _ in range(times):
@@ -38,24 +38,24 @@
     return _demand.estimate(QUEUE.service, priority, CAPACITY, state)
 
 
-def test_demand_tells_mean_spread_and_size():
-    state = make_watched()
-    ask(state, times=200)
+def test_demand_has_mean_variance_and_size():
+    state = make_observed_state()
+    add_demand(state, times=200)
     demand = estimate(state)
     assert demand.mean_millicores == pytest.approx(8000, rel=0.1)
     assert demand.variance == pytest.approx(8000**2, rel=0.1)
     assert demand.place_millicores == 2000
 
 
-def test_owner_that_has_just_begun_to_count_scales_up():
-    state = make_watched(for_ms=0)
-    ask(state, times=3)
+def test_new_owner_extrapolates_its_demand():
+    state = make_observed_state(for_ms=0)
+    add_demand(state, times=3)
     assert estimate(state).mean_millicores == pytest.approx(8000, rel=0.3)
 
 
-def test_units_share_what_all_of_them_know():
-    """One that has seen nothing itself knows by the others."""
-    state = make_watched()
+def test_units_share_the_demand_of_all_units():
+    """A unit without demand of its own uses that of the others."""
+    state = make_observed_state()
     record = DemandRecord(QUEUE.service, 0, 6000.0, 1.8e7, 5.4e10, 1.2e7, 30.0)
     for number in (1, 2):
         state.rooms[number] = UnitRoom(
@@ -69,66 +69,66 @@
 
 
 def test_less_urgent_demand_does_not_count():
-    state = make_watched()
-    ask(state, times=20, queue=attrs.evolve(QUEUE, priority=2))
+    state = make_observed_state()
+    add_demand(state, times=20, queue=attrs.evolve(QUEUE, priority=2))
     assert estimate(state, priority=1) == _demand.Demand()
     assert estimate(state, priority=2).mean_millicores
 
 
-def test_new_owner_goes_on_from_what_the_last_one_told():
-    """It began with none, and gave away what was kept."""
-    last = make_watched()
-    ask(last, times=100)
+def test_new_owner_restores_the_published_demand():
+    """A new owner started without demand, and gave its headroom away."""
+    previous_owner = make_observed_state()
+    add_demand(previous_owner, times=100)
     room = UnitRoom(
-        demands=tuple(_demand.list_records(last)),
-        queue_kinds=dict(last.queue_kinds),
+        demands=tuple(_demand.list_records(previous_owner)),
+        queue_kinds=dict(previous_owner.queue_kinds),
     )
-    state = make_watched(for_ms=0)
+    state = make_observed_state(for_ms=0)
     state.ownership.lease = LeaseRecord('s', 'i', room=room)
     _demand.take_over(state)
     known = estimate(state)
-    told = estimate(last)
+    previous = estimate(previous_owner)
     assert known.mean_millicores == pytest.approx(
-        told.mean_millicores, rel=0.01
+        previous.mean_millicores, rel=0.01
     )
-    assert known.variance == pytest.approx(told.variance, rel=0.01)
+    assert known.variance == pytest.approx(previous.variance, rel=0.01)
     assert state.queue_kinds[QUEUE.name].short
 
 
-def test_lease_of_an_owner_that_tells_no_demand_changes_nothing():
-    state = make_watched()
-    ask(state, times=20)
+def test_lease_without_demand_changes_nothing():
+    state = make_observed_state()
+    add_demand(state, times=20)
     before = estimate(state)
     state.ownership.lease = LeaseRecord('s', 'i')
     _demand.take_over(state)
     assert estimate(state) == before
 
 
-def test_queue_that_brought_other_work_alone_is_not_expected_to_change():
-    state = make_watched()
-    state.configuration = Configuration(1, (LASTING,))
+def test_queue_without_short_tasks_is_not_expected_to_bring_any():
+    state = make_observed_state()
+    state.configuration = Configuration(1, (LONG_RUNNING,))
     assert _demand.may_show(QUEUE.service, 0, state)
     step = make_serving()
-    job = Job('0' * 16, LASTING, JobRequest('', (step,)), 1)
+    job = Job('0' * 16, LONG_RUNNING, JobRequest('', (step,)), 1)
     _demand.note_step(job, step, 1, state)
     assert not _demand.may_show(QUEUE.service, 0, state)
-    ask(state, queue=LASTING)
+    add_demand(state, queue=LONG_RUNNING)
     assert _demand.may_show(QUEUE.service, 0, state)
 
 
-def test_what_comes_by_a_queue_is_known_from_other_units():
-    state = make_watched()
-    state.configuration = Configuration(1, (LASTING,))
-    kinds = {LASTING.name: QueueKinds(long_running=True)}
+def test_kinds_of_a_queue_are_known_from_other_units():
+    state = make_observed_state()
+    state.configuration = Configuration(1, (LONG_RUNNING,))
+    kinds = {LONG_RUNNING.name: QueueKinds(long_running=True)}
     state.rooms[1] = UnitRoom(queue_kinds=kinds)
     assert not _demand.may_show(QUEUE.service, 0, state)
 
 
-# Guards against an odd lease of another unit that ends this one's owner.
+# Guards against an invalid lease of another unit that stops this owner.
 @pytest.mark.parametrize('mean', [5e-324, 1e-300, 1e-150, 1e27])
 @pytest.mark.parametrize('figure', [0.0, 1e-300, 1e27])
-def test_demand_of_odd_figures_is_weighed(mean, figure):
-    state = make_watched()
+def test_estimate_accepts_all_valid_figures(mean, figure):
+    state = make_observed_state()
     record = DemandRecord(QUEUE.service, 0, mean, *[figure] * 5)
     state.rooms[1] = UnitRoom(demands=(record,))
     demand = estimate(state)
--- a/tests/tulippin/jobs/test_evening.py
+++ b/tests/tulippin/jobs/test_evening.py
@@ -1,4 +1,4 @@
-"""Long-running work handed in at once ends up spread over the units."""
+"""Long-running jobs submitted at the same time are spread over the units."""
 
 import pytest
 import trio
@@ -16,8 +16,8 @@
 IMAGES = 10
 
 
-async def hand_in_at_once(fleet):
-    """Let every instance take some jobs within 100 ms."""
+async def submit_at_once(fleet):
+    """Submit jobs through all instances within 100 ms."""
     requests = [
         make_request(
             make_step(
@@ -44,8 +44,8 @@
             )
 
 
-def get_fullness(fleet):
-    """Return the share of its processors that each unit has reserved."""
+def get_loads(fleet):
+    """Return the reserved share of the processors of each unit."""
     return [
         sum(one.reserved.cpu_millicores for one in unit.state.workers.values())
         / sum(
@@ -59,48 +59,50 @@
 
 
 async def fill(fleet):
-    await hand_in_at_once(fleet)
+    await submit_at_once(fleet)
     await fleet.wait_running(JOBS * TASKS, limit_s=8)
     await trio.sleep(1)
     assert max(get_running(fleet).values()) == 1
     fleet.check()
-    return get_fullness(fleet)
+    return get_loads(fleet)
 
 
 def open_ten_units():
     return open_units(12, workers=300, rack_size=30)
 
 
-def test_units_end_up_alike(run_virtual):
+def test_units_end_up_with_similar_loads(run_virtual):
     async def run():
         async with open_ten_units() as fleet:
-            fullness = await fill(fleet)
-            assert len(fullness) == 10
-            # A step is 0.075 of a unit, and leaves whole.
-            assert max(fullness) - min(fullness) < 0.25
+            loads = await fill(fleet)
+            assert len(loads) == 10
+            # A step is 0.075 of a unit, and is transferred as a whole.
+            assert max(loads) - min(loads) < 0.25
 
     run_virtual(run)
 
 
-def test_without_that_some_get_twice_as_much(run_virtual, monkeypatch):
+def test_without_rebalancing_some_units_get_twice_as_much(
+    run_virtual, monkeypatch
+):
     monkeypatch.setattr(_evening, 'choose_units', lambda state: {})
 
     async def run():
         async with open_ten_units() as fleet:
-            fullness = await fill(fleet)
-            assert max(fullness) - min(fullness) > 0.35
+            loads = await fill(fleet)
+            assert max(loads) - min(loads) > 0.35
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_owners_lost_while_units_are_evened_out(run_virtual, seed):
+def test_owners_lost_during_rebalancing(run_virtual, seed):
     async def run():
         async with open_ten_units() as fleet:
             source = fleet.platform.store.source
             source.seed(seed)
             fleet.platform.store.trouble.lost_answer_share = 0.1
-            await hand_in_at_once(fleet)
+            await submit_at_once(fleet)
             await trio.sleep(0.9 + 0.1 * seed)
             for name in source.sample(list(fleet.instances), 4):
                 fleet.kill(name)
@@ -114,7 +116,7 @@
     run_virtual(run, seed=seed)
 
 
-def test_job_that_was_spread_is_cancelled_everywhere(run_virtual):
+def test_transferred_job_is_cancelled_in_all_units(run_virtual):
     async def run():
         async with open_ten_units() as fleet:
             await fill(fleet)
@@ -132,25 +134,25 @@
 
 
 def count_waiting(fleet):
-    """Return what each instance tells of jobs with no task begun."""
+    """Return each instance's count of jobs without a started task."""
     return [
         instance.intake.count_waiting(QUEUE)
         for instance in fleet.instances.values()
     ]
 
 
-def test_jobs_that_were_passed_on_whole_still_count_as_waiting(
+def test_completely_transferred_jobs_still_count_as_waiting(
     run_virtual, monkeypatch
 ):
-    """Neither their home nor the unit that they went to counted them."""
+    """Neither the home unit nor the receiving unit counted them."""
     monkeypatch.setattr(_choosing, 'choose', lambda *_: None)
 
     async def run():
         async with open_ten_units() as fleet:
-            await hand_in_at_once(fleet)
+            await submit_at_once(fleet)
             await trio.sleep(4)
-            # Those that are on their way between two units now are in none,
-            # or in both, until the next rows.
+            # Jobs in transfer between two units are counted in neither or in
+            # both until the next rows.
             assert min(count_waiting(fleet)) >= 0.75 * JOBS
             assert max(count_waiting(fleet)) <= 1.25 * JOBS
 
--- a/tests/tulippin/jobs/test_headroom.py
+++ b/tests/tulippin/jobs/test_headroom.py
@@ -1,4 +1,4 @@
-"""New long-running tasks leave room to short ones that reserve theirs."""
+"""New long-running tasks leave headroom for short tasks."""
 
 import attrs
 import pytest
@@ -33,7 +33,7 @@
 from tulippin.jobs.types import Step, TaskKey
 from tulippin.types import Resources
 
-# Nine places of 3 cores on three workers of 10.
+# Nine tasks of 3 cores fit on three workers of 10 cores.
 WORKERS = 3
 SHORT_CORES = 3
 LASTING = attrs.evolve(QUEUE, name='lasting', priority=1)
@@ -41,8 +41,8 @@
 CORE = 1000
 
 
-def ask_for_short(state, cores, queue=QUEUE, count=1):
-    """Have short tasks come that use so many cores on the mean."""
+def add_short_demand(state, cores, queue=QUEUE, count=1):
+    """Add the demand of short tasks that use ``cores`` on average."""
     step = Step(count, Resources(SHORT_CORES * 1000, 1000), estimated_ms=1000)
     for _ in range(200):
         wait_ms = 1000 * SHORT_CORES * count // cores if cores else 1000
@@ -54,7 +54,7 @@
 
 
 def fill_half(state):
-    """Have long-running tasks reserve half of the processors."""
+    """Reserve half of the processors with long-running tasks."""
     for number, worker in enumerate(state.workers.values()):
         make_attempt(worker, make_serving(cpu=5 * CORE), 'half', number)
 
@@ -67,8 +67,8 @@
     return job, Task(TaskKey('lasting', 0, 0, 0)), step
 
 
-def place(state, cores, queue=LASTING, **options):
-    """Place new long-running tasks as long as any finds a worker."""
+def place_new(state, cores, queue=LASTING, **options):
+    """Place new long-running tasks until none fits; return their count."""
     step = make_serving(cpu=cores * 1000)
     job = make_job(state, 'lasting', state.now_ms, (step,))
     job.queue = queue
@@ -82,7 +82,7 @@
         count += 1
 
 
-def count_places(state):
+def count_fitting(state):
     return sum(
         worker.free.cpu_millicores // (SHORT_CORES * 1000)
         for worker in state.workers.values()
@@ -92,66 +92,68 @@
 @pytest.mark.parametrize(
     ('workers', 'cores', 'kept'), [(3, 3, 2), (6, 6, 3), (12, 6, 3)]
 )
-def test_new_long_running_tasks_leave_what_short_ones_use(workers, cores, kept):
-    """They left nothing: what short tasks had left was theirs for good."""
+def test_new_long_running_tasks_leave_the_demand_of_short_ones(
+    workers, cores, kept
+):
+    """Long-running tasks kept all capacity that short tasks released."""
     state = make_state(workers)
-    ask_for_short(state, cores)
-    assert place(state, 3) == 3 * workers - kept
-    assert count_places(state) == kept
+    add_short_demand(state, cores)
+    assert place_new(state, 3) == 3 * workers - kept
+    assert count_fitting(state) == kept
 
 
-def test_more_is_kept_for_what_comes_in_bursts():
-    """At the mean itself a queue of bursts has no end."""
+def test_more_headroom_is_kept_for_bursts():
+    """With only the mean demand kept, a queue of bursts grows without limit."""
     state = make_state(12)
-    ask_for_short(state, 6, count=1)
+    add_short_demand(state, 6, count=1)
     fill_half(state)
     single = _headroom.find_headroom(*make_new(state), state)
     state = make_state(12)
-    ask_for_short(state, 6, count=4)
+    add_short_demand(state, 6, count=4)
     fill_half(state)
     bursts = _headroom.find_headroom(*make_new(state), state)
     assert single.kept_places == 3
     assert bursts.kept_places == 5
 
 
-def test_pieces_that_are_too_small_for_a_short_task_are_anyones():
+def test_pieces_too_small_for_a_short_task_are_free_for_all():
     state = make_state(4)
-    ask_for_short(state, 3)
+    add_short_demand(state, 3)
     for number in range(4):
         make_attempt(state.workers[f'w{number}'], make_serving(cpu=6000))
-    assert place(state, 1) == 4 + 2 * SHORT_CORES
-    assert count_places(state) == 2
+    assert place_new(state, 1) == 4 + 2 * SHORT_CORES
+    assert count_fitting(state) == 2
 
 
-def test_pieces_become_places_where_there_are_too_few():
-    """What was freed piece by piece went to the next task that waited."""
+def test_freed_pieces_are_kept_while_headroom_is_scarce():
+    """Capacity freed in small pieces went to the next waiting task."""
     state = make_state(4)
-    ask_for_short(state, 3)
+    add_short_demand(state, 3)
     for number in range(4):
         make_attempt(state.workers[f'w{number}'], make_serving(cpu=8000))
-    assert place(state, 1) == 0
+    assert place_new(state, 1) == 0
     state.workers['w0'].attempts.clear()
     state.workers['w0'].reserved = Resources()
-    assert place(state, 1) > 0
-    assert count_places(state) == 2
+    assert place_new(state, 1) > 0
+    assert count_fitting(state) == 2
 
 
-def test_worker_that_is_smaller_than_a_place_is_anyones():
+def test_worker_smaller_than_a_short_task_keeps_no_headroom():
     state = make_state(5)
-    ask_for_short(state, 6)
+    add_short_demand(state, 6)
     small = attrs.evolve(
         state.workers['w4'].entry, capacity=Resources(2000, 8000)
     )
     state.workers['w4'].entry = small
     for number in range(4):
         make_attempt(state.workers[f'w{number}'], make_serving(cpu=8000))
-    assert place(state, 1) == 2
+    assert place_new(state, 1) == 2
 
 
-def test_room_in_pieces_is_not_held_back_while_there_is_much_of_it():
-    """A task that waits beside a third of the room would be work lost."""
+def test_ample_fragmented_capacity_is_not_held_back():
+    """A third of the capacity is free, so waiting would waste it."""
     state = make_state(4)
-    ask_for_short(state, 3)
+    add_short_demand(state, 3)
     for number in range(4):
         for index in range(2):
             worker = state.workers[f'w{number}']
@@ -160,62 +162,62 @@
             worker.entry, capacity=Resources(10_900, 64_000)
         )
     assert _headroom.find_headroom(*make_new(state), state).found_places == 0
-    assert place(state, 1) > 0
+    assert place_new(state, 1) > 0
 
 
-def test_most_of_the_processors_are_never_kept():
-    """After a crowd the figure is far too high for a while."""
+def test_headroom_is_limited_to_a_share_of_the_processors():
+    """After a burst the demand is overestimated for a while."""
     state = make_state(WORKERS)
-    ask_for_short(state, 60)
-    assert place(state, 3) == 7
+    add_short_demand(state, 60)
+    assert place_new(state, 3) == 7
 
 
-def test_running_short_tasks_hold_their_places_themselves():
-    """A place in use counts as kept: another beside it is not."""
+def test_running_short_tasks_count_towards_the_headroom():
+    """Capacity that a short task uses counts towards what is kept."""
     state = make_state(1)
-    ask_for_short(state, 3)
+    add_short_demand(state, 3)
     make_attempt(
         state.workers['w0'], Step(1, Resources(SHORT_CORES * 1000, 1000))
     )
-    assert place(state, 3) == 2
+    assert place_new(state, 3) == 2
 
 
 def test_nothing_is_kept_where_no_short_jobs_come():
     state = make_state(WORKERS)
-    assert place(state, 5) == 2 * WORKERS
+    assert place_new(state, 5) == 2 * WORKERS
 
 
-def test_what_was_kept_is_given_once_short_jobs_stay_away():
+def test_headroom_is_released_once_no_short_jobs_arrive():
     state = make_state(WORKERS)
-    ask_for_short(state, 6)
-    ask_for_short(state, 0)
-    assert place(state, 5) == 2 * WORKERS
+    add_short_demand(state, 6)
+    add_short_demand(state, 0)
+    assert place_new(state, 5) == 2 * WORKERS
 
 
-def test_task_that_was_at_work_before_takes_any_place():
+def test_task_that_ran_before_leaves_no_headroom():
     state = make_state(WORKERS)
-    ask_for_short(state, 6)
-    assert place(state, 5, has_run=True) == 2 * WORKERS
+    add_short_demand(state, 6)
+    assert place_new(state, 5, has_run=True) == 2 * WORKERS
 
 
 def test_nothing_is_kept_for_less_urgent_jobs_or_other_services():
     state = make_state(WORKERS)
-    ask_for_short(state, 6, attrs.evolve(QUEUE, priority=2))
-    ask_for_short(state, 6, attrs.evolve(QUEUE, service='other'))
-    assert place(state, 5) == 2 * WORKERS
+    add_short_demand(state, 6, attrs.evolve(QUEUE, priority=2))
+    add_short_demand(state, 6, attrs.evolve(QUEUE, service='other'))
+    assert place_new(state, 5) == 2 * WORKERS
 
 
-def test_workers_that_take_no_work_hold_no_places():
+def test_unavailable_workers_count_for_no_headroom():
     state = make_state(WORKERS)
-    ask_for_short(state, 6)
+    add_short_demand(state, 6)
     for worker in list(state.workers.values())[1:]:
         worker.quarantined_until_ms = state.now_ms + NOW_MS
-    assert place(state, 5) == 1
+    assert place_new(state, 5) == 1
 
 
-def test_short_tasks_take_any_place():
+def test_short_tasks_may_use_headroom():
     state = make_state(1)
-    ask_for_short(state, 6)
+    add_short_demand(state, 6)
     step = Step(1, Resources(10_000, 1000))
     job = make_job(state, 'wide', state.now_ms, (step,))
     task = Task(TaskKey('wide', 0, 0, 0))
@@ -223,11 +225,11 @@
 
 
 @pytest.mark.parametrize('cores', [0, 6])
-def test_new_task_is_not_passed_to_where_room_is_kept_from_it(cores):
-    """It found room there by what was told, and was passed on at once."""
+def test_new_task_is_not_transferred_into_headroom(cores):
+    """The task fitted by the published capacity, and was sent on at once."""
     state = make_state(1)
     if cores:
-        ask_for_short(state, cores)
+        add_short_demand(state, cores)
     make_attempt(state.workers['w0'], make_serving(cpu=6000))
     room = _rooms.measure(state)
     step = make_serving(cpu=3000)
@@ -236,20 +238,20 @@
     assert _rooms.has_place(room, make_serving(cpu=1000), is_new=True)
 
 
-def test_owner_that_tells_of_no_kept_room_is_taken_at_its_word():
-    """Rows of owners of an earlier version lack the figure."""
+def test_owner_that_publishes_no_headroom_keeps_none():
+    """Lease rows of owners of an earlier version lack the figure."""
     room = UnitRoom(10_000, 0, largest_free=Resources(5000, 1000))
     step = make_serving(cpu=3000)
     assert _rooms.has_place(room, step, is_new=True)
 
 
-# What users saw: too little of an urgent kind of request was served on full
-# days. Order of events: short jobs come all the time, and more long-running
-# ones than find room; these wait. Each hole that a short task leaves goes to
-# one of them; then a short task finds no worker until a long-running one is
-# cancelled. Evidence: nine tenths of the time that late urgent jobs lost was
-# spent waiting for room, and all workers were refused for processors.
-def test_short_job_finds_room_on_a_full_day(run_virtual):
+# Guards against urgent short jobs that find no worker under full load. Short
+# jobs arrive continuously while long-running tasks wait; the capacity that
+# each short task frees goes to a waiting long-running task, until short tasks
+# fit only after a long-running one is cancelled. Nine tenths of the delay of
+# late urgent jobs was waiting for capacity, with all workers rejected for lack
+# of processors.
+def test_short_job_finds_capacity_under_full_load(run_virtual):
     async def run():
         async with open_fleet(instances=1, workers=4) as fleet:
             intake = next(iter(fleet.instances.values())).intake
@@ -263,21 +265,21 @@
                 await trio.sleep(0.5)
             many = make_request(lasting, lasts=True)
             await intake.submit('f' * 16, PATIENT, many, LIMIT_MS)
-            # The short tasks end, and for a while none comes.
+            # The short tasks end, and for a while none arrives.
             await trio.sleep(2)
             await intake.submit('e' * 16, URGENT, request, LIMIT_MS)
             await fleet.wait_done('e' * 16, limit_s=3)
             fleet.check()
-            # All of the rest is at work, less the quarter that is kept at most.
+            # All else is used, except for the maximum headroom of a quarter.
             assert fleet.count_running() == 24
 
     run_virtual(run)
 
 
-def test_headroom_is_measured_once_for_all_steps_that_wait(monkeypatch):
-    """Each of them looked through the runs of all workers in each pass."""
+def test_headroom_is_computed_once_for_all_waiting_steps(monkeypatch):
+    """Each waiting step scanned the runs of all workers in each pass."""
     state = make_state(12)
-    ask_for_short(state, 6)
+    add_short_demand(state, 6)
     for number in range(12):
         worker = state.workers[f'w{number}']
         make_attempt(worker, make_serving(cpu=9 * CORE), 'full', number)
--- a/tests/tulippin/jobs/test_headroom_review.py
+++ b/tests/tulippin/jobs/test_headroom_review.py
@@ -1,4 +1,4 @@
-"""What has to hold of the room that is kept from new long-running tasks."""
+"""Further cases of the headroom that new long-running tasks leave."""
 
 import math
 import random
@@ -7,7 +7,7 @@
 import pytest
 import trio
 from test_headroom import LASTING as UNIT_LASTING
-from test_headroom import ask_for_short, fill_half
+from test_headroom import add_short_demand, fill_half
 from test_scheduler_decisions import (
     QUEUE,
     make_attempt,
@@ -50,8 +50,8 @@
 
 CORE = 1000
 CORES = 10
-# For how long users let a long-running task be without a run beside room.
-MISSED_MS = 6000
+# How long users accept a long-running task without a run despite free capacity.
+MAX_GAP_MS = 6000
 
 
 def choose_new(state, cores, queue=UNIT_LASTING, **options):
@@ -62,7 +62,7 @@
     return _choosing.choose(job, Task(TaskKey('new', 0, 0, 0)), step, state)
 
 
-def measure(state, cores=1):
+def find_headroom_of_new(state, cores=1):
     step = make_serving(cpu=cores * CORE)
     job = make_job(state, 'new', state.now_ms, (step,))
     job.queue = UNIT_LASTING
@@ -71,7 +71,7 @@
 
 
 def ask(state, cores, size_cores, estimated_ms=1000, count=200):
-    """Have short tasks of a size come that use so many cores on the mean."""
+    """Add the demand of short tasks of a size that use ``cores`` on average."""
     step = Step(
         1, Resources(size_cores * CORE, 1000), estimated_ms=estimated_ms
     )
@@ -82,11 +82,9 @@
         _demand.note_step(job, step, 1, state)
 
 
-# Guards against less urgent work that waits beside room kept from others.
+# Guards against less urgent short tasks that may not use the headroom.
 @pytest.mark.parametrize('cores', [2, 4])
-def test_short_job_takes_room_that_new_long_running_tasks_may_not(
-    run_virtual, cores
-):
+def test_less_urgent_short_job_uses_headroom(run_virtual, cores):
     async def run():
         async with open_busy_fleet(workers=4) as fleet:
             lasting = make_lasting(40, 2 * CORE)
@@ -102,8 +100,8 @@
     run_virtual(run)
 
 
-# Guards against missed tasks that wait behind new ones that are held back.
-def test_tasks_that_ran_are_back_in_time_beside_new_ones_that_wait(run_virtual):
+# Guards against interrupted tasks that wait behind new ones held back.
+def test_interrupted_tasks_restart_in_time_while_new_ones_wait(run_virtual):
     async def run():
         async with open_busy_fleet(workers=8) as fleet:
             job_id = f'{1:016x}'
@@ -114,13 +112,14 @@
             for name in ('w0', 'w1', 'w2'):
                 fleet.platform.workers[name].fail_all()
             await trio.sleep(10)
-            assert get_longest_gap_ms(fleet, job_id) <= MISSED_MS
+            assert get_longest_gap_ms(fleet, job_id) <= MAX_GAP_MS
             fleet.check()
 
     run_virtual(run)
 
 
-# Guards against a task that waits beside twice its room, half of all free.
+# Guards against a task that waits although a half-empty service has twice the
+# capacity that it needs.
 def test_new_task_starts_soon_on_an_empty_worker_of_a_half_empty_service(
     run_virtual,
 ):
@@ -136,7 +135,7 @@
     run_virtual(run)
 
 
-# Guards against places kept on the only workers that a job would fit on.
+# Guards against headroom kept on the only workers that fit a job.
 def test_job_starts_on_one_of_two_empty_workers_of_a_half_empty_service():
     state = make_state(8)
     ask(state, 40, 6)
@@ -146,8 +145,8 @@
     assert choose_new(state, 5) is not None
 
 
-# Guards against a gang that waits beside a service where nothing runs.
-def test_wide_gang_of_long_running_tasks_starts_in_an_empty_service(
+# Guards against a gang that waits although nothing runs in its service.
+def test_wide_long_running_gang_starts_in_an_empty_service(
     run_virtual,
 ):
     async def run():
@@ -160,8 +159,8 @@
     run_virtual(run)
 
 
-# Guards against a taking that makes tasks that never ran count as missed.
-def test_tasks_that_never_ran_take_no_kept_room_after_a_taking(run_virtual):
+# Guards against tasks that never ran counting as interrupted after a takeover.
+def test_tasks_that_never_ran_leave_headroom_after_a_takeover(run_virtual):
     async def run():
         async with open_busy_fleet(instances=2, workers=4) as fleet:
             lasting = make_lasting(40, 2 * CORE)
@@ -178,9 +177,9 @@
     run_virtual(run)
 
 
-# Guards against time without any work that counts as time without short work.
+# Guards against idle time that counts as evidence that no short tasks come.
 @pytest.mark.parametrize('seed', range(2))
-def test_room_is_kept_where_nothing_came_before_long_running_jobs(
+def test_headroom_is_kept_if_nothing_came_before_long_running_jobs(
     run_virtual, seed
 ):
     source = random.Random(seed)
@@ -190,18 +189,18 @@
             await trio.sleep(300)
             await fill(fleet, source)
             await trio.sleep(5)
-            count, taken_s = await send_bursts(fleet, source)
-            in_time = sum(one <= IN_TIME_S for one in taken_s)
+            count, durations_s = await send_bursts(fleet, source)
+            in_time = sum(one <= IN_TIME_S for one in durations_s)
             assert in_time >= count / 2
             fleet.check()
 
     run_virtual(run, seed=seed)
 
 
-# Guards against demand that is forgotten while it waits.
-def test_room_is_kept_as_long_as_short_tasks_wait_for_it():
+# Guards against demand that decays although its tasks still wait.
+def test_headroom_is_kept_while_short_tasks_wait_for_it():
     state = make_state(4)
-    ask_for_short(state, 6)
+    add_short_demand(state, 6)
     for number in range(4):
         make_attempt(state.workers[f'w{number}'], make_serving(cpu=8 * CORE))
     step = Step(4, Resources(6 * CORE, 1000), estimated_ms=1000)
@@ -213,18 +212,18 @@
     assert choose_new(state, 2) is None
 
 
-# Guards against a demand of none because no short task has ended yet.
+# Guards against a demand of zero because no short task has ended yet.
 def test_short_tasks_of_unknown_run_time_count():
     state = make_state(4)
     ask(state, 10, 5, estimated_ms=0)
     fill_half(state)
-    headroom = measure(state)
+    headroom = find_headroom_of_new(state)
     assert headroom is not None
     assert headroom.kept_places > 0
 
 
-# Guards against demand counted by the last owner and the next one alike.
-def test_demand_is_the_same_after_a_taking(run_virtual):
+# Guards against demand that both the previous and the new owner count.
+def test_demand_is_the_same_after_a_takeover(run_virtual):
     def get_mean(fleet):
         state = fleet.instances[fleet.get_owner()].state
         return _demand.estimate('catalogue', 9, 64_000, state).mean_millicores
@@ -246,8 +245,8 @@
     run_virtual(run)
 
 
-# Guards against places that have no memory left for a task.
-def test_kept_places_have_the_memory_of_a_short_task():
+# Guards against headroom without enough memory for a task.
+def test_headroom_includes_the_memory_of_a_short_task():
     state = make_state(4)
     step = Step(1, Resources(3 * CORE, 8000), estimated_ms=1000)
     for _ in range(200):
@@ -268,10 +267,10 @@
     assert _choosing.choose(job, task, step, state) is not None
 
 
-# Guards against long-running tasks on idle processors held back for room.
-def test_long_running_task_that_reserves_nothing_takes_no_kept_room():
+# Guards against headroom rules for tasks that reserve no processors.
+def test_opportunistic_long_running_task_leaves_no_headroom():
     state = make_state(4)
-    ask_for_short(state, 6)
+    add_short_demand(state, 6)
     lasting = Step(1, Resources(8 * CORE, 1000), long_running=True)
     for number in range(4):
         make_attempt(state.workers[f'w{number}'], lasting)
@@ -291,7 +290,7 @@
     assert _choosing.choose(job, task, step, state) is not None
 
 
-# Guards against one absurd job that makes its unit's lease unreadable.
+# Guards against an extreme job that makes the lease of its unit unreadable.
 @pytest.mark.parametrize('estimated_ms', [1000, 10**9])
 def test_lease_is_readable_whatever_is_asked_for(estimated_ms):
     state = make_state(2)
@@ -305,9 +304,9 @@
     assert read_record(row, LeaseRecord) is not None
 
 
-# Guards against a job that waits beside an empty half of its service.
+# Guards against a job that waits although half of its service is free.
 @pytest.mark.parametrize('seed', range(40))
-def test_new_task_starts_beside_twice_its_room_in_a_service_half_empty(seed):
+def test_new_task_starts_if_half_of_its_service_is_free(seed):
     source = random.Random(seed)
     for _ in range(25):
         state = make_state(source.randint(1, 10))
@@ -327,8 +326,8 @@
             assert choose_new(state, cores) is not None, (free, size, cores)
 
 
-# Guards against figures that no process can divide by.
-def test_demand_of_extreme_figures_is_weighed():
+# Guards against figures so small that a division overflows.
+def test_estimate_accepts_extreme_figures():
     state = make_state(2)
     state.rooms[1] = UnitRoom(
         demands=(
@@ -341,5 +340,5 @@
 
 def _make_record():
     state = make_state(1)
-    ask_for_short(state, 3)
+    add_short_demand(state, 3)
     return _demand.list_records(state)[0]
--- a/tests/tulippin/jobs/test_odd_rooms.py
+++ b/tests/tulippin/jobs/test_odd_rooms.py
@@ -1,8 +1,8 @@
-"""What a lease's row tells of its unit's room, where it is none.
+"""Lease rows with an invalid capacity of their unit.
 
-Other units' owners weigh the rooms that leases tell, to pass tasks on and to
-even units out, and so do the instances that place a job: a room of 10 to the
-400th processors ended the owners that passed tasks on, and the hand-in.
+Owners of other units use the published capacities to transfer tasks and to
+rebalance, and instances use them to choose the home unit of a job. A capacity
+of 10**400 processors stopped those owners, and made submitting jobs fail.
 """
 
 import pytest
@@ -27,10 +27,12 @@
 from tulippin.types import Resources
 
 HUGE = 10**400
-# More than a unit's owner can come to: a million jobs, each of a million
+# Upper limit of what an owner can publish: a million jobs, each of a million
 # tasks of the largest size.
-MOST_ASKED = 10**21
-FIGURES = st.sampled_from((0, 1, -1, 16_000, 2**63, MOST_ASKED, HUGE, -HUGE))
+MAX_MILLICORES = 10**21
+FIGURES = st.sampled_from(
+    (0, 1, -1, 16_000, 2**63, MAX_MILLICORES, HUGE, -HUGE)
+)
 SIZES = st.sampled_from((0.0, 1e-300, 1e-150, 1.0, 16_000.0, 1e21, 1e300, -1.0))
 ROOMS = st.builds(
     UnitRoom,
@@ -61,7 +63,7 @@
 
 
 @given(st.lists(ROOMS, max_size=3))
-def test_room_that_is_read_can_be_weighed(rooms):
+def test_capacity_that_is_read_can_be_compared(rooms):
     state = SchedulerState(SchedulerConfig('i', 'i:1'), now_ms=100_000)
     for number, room in enumerate(rooms, 1):
         record = read(room)
@@ -69,7 +71,7 @@
             continue
         state.rooms[number] = record.room
         _accepts_transfers(record.room)
-        assert float(_get_load(record.room)) >= -MOST_ASKED
+        assert float(_get_load(record.room)) >= -MAX_MILLICORES
         count_fitting(record.room, 1000)
         has_place(record.room, make_step(), is_new=True)
         count_fitting(record.room, 1000, is_short=True)
@@ -81,7 +83,7 @@
     choose_units(state)
 
 
-ODD = {
+INVALID_ROOMS = {
     'capacity': UnitRoom(capacity_millicores=HUGE),
     'reserved': UnitRoom(reserved_millicores=HUGE),
     'below none': UnitRoom(reserved_millicores=-HUGE),
@@ -97,18 +99,20 @@
 }
 
 
-@pytest.mark.parametrize('name', sorted(ODD))
-def test_room_of_no_unit_is_refused(name):
-    assert read(ODD[name]) is None
+@pytest.mark.parametrize('name', sorted(INVALID_ROOMS))
+def test_invalid_capacity_is_rejected(name):
+    assert read(INVALID_ROOMS[name]) is None
 
 
 @pytest.mark.parametrize(
     'room',
     [
         UnitRoom(),
-        UnitRoom(16_000, MOST_ASKED, MOST_ASKED, Resources(-9000, -1, 0)),
+        UnitRoom(
+            16_000, MAX_MILLICORES, MAX_MILLICORES, Resources(-9000, -1, 0)
+        ),
         measure_load(SchedulerState(SchedulerConfig('i', 'i:1'))),
     ],
 )
-def test_room_that_an_owner_can_come_to_is_read(room):
+def test_capacity_that_an_owner_can_publish_is_read(room):
     assert read(room).room == room
--- a/tests/tulippin/jobs/test_scheduler_decisions.py
+++ b/tests/tulippin/jobs/test_scheduler_decisions.py
@@ -1,4 +1,4 @@
-"""Single decisions of the scheduler, without clocks or sockets."""
+"""Unit tests of single scheduler decisions, without clocks or sockets."""
 
 import attrs
 import pytest
@@ -84,8 +84,8 @@
     return Step(1, Resources(cpu, 1000), image=image, opportunistic=True)
 
 
-def show_siblings(state, tail_ms=10.0):
-    """Let siblings on other workers show the undisturbed tail."""
+def set_sibling_tails(state, tail_ms=10.0):
+    """Set undisturbed tails of sibling tasks on other workers."""
     state.tails['a'] = {
         TaskKey('a', 0, 0, 7): (tail_ms, state.now_ms),
         TaskKey('a', 0, 0, 8): (tail_ms + 1, state.now_ms),
@@ -93,17 +93,17 @@
 
 
 def teach(state, worker, tail_ms, steps=20):
-    """Report a tail again and again beside undisturbed siblings."""
+    """Report a tail repeatedly while siblings are undisturbed."""
     for _ in range(steps):
         state.now_ms += 400
-        show_siblings(state)
+        set_sibling_tails(state)
         for attempt in worker.serving.values():
             _tails.note_load(attempt, tail_ms, state.now_ms)
         _interference.learn(worker, state)
 
 
 def set_pair(state, serving_image, image, mean, spread=0.01):
-    """Have the model be sure of a pair."""
+    """Set a pair of the model to a mean with a small variance."""
     model = state.model.images.setdefault(serving_image, ImageModel())
     model.means[image] = mean
     model.covariances[image, image] = spread * spread
@@ -120,26 +120,26 @@
     assert weight == pytest.approx(0.96, abs=0.05)
     assert state.model.get_weight('web', 'other') < 0.1
     bad.fillers.clear()
-    show_siblings(state, 25.0)
+    set_sibling_tails(state, 25.0)
     assert _interference.get_harm(make_filler(), bad, state) is None
     assert (
         _interference.get_harm(make_filler(), state.workers['w1'], state) == 0
     )
 
 
-def test_pair_that_does_not_disturb_stays_welcome_at_the_peak():
+def test_harmless_pair_is_allowed_at_peak_load():
     state = make_state()
     worker = state.workers['w0']
     make_attempt(worker, make_serving())
     make_attempt(worker, make_filler(), 'b', load=1000.0)
     teach(state, worker, 10.0)
     assert state.model.get_weight('web', 'batch') < 0.02
-    show_siblings(state, 42.0)
+    set_sibling_tails(state, 42.0)
     worker.slack = None
     assert _interference.get_harm(make_filler(), worker, state) == 0
 
 
-def test_neighbour_beside_a_calm_tail_is_cleared_and_the_other_blamed():
+def test_image_beside_an_undisturbed_tail_is_cleared():
     state = make_state()
     worker = state.workers['w0']
     make_attempt(worker, make_serving())
@@ -151,18 +151,18 @@
     assert state.model.get_weight('web', 'loud') > 0.3
 
 
-def test_unknown_pair_is_tried_at_the_ebb_of_the_load_only():
+def test_unknown_pair_is_tried_at_low_load_only():
     state = make_state()
     worker = state.workers['w0']
     make_attempt(worker, make_serving(), load=12.0)
-    show_siblings(state, 12.0)
+    set_sibling_tails(state, 12.0)
     assert _interference.get_harm(make_filler(), worker, state) is not None
     worker.slack = None
-    show_siblings(state, 35.0)
+    set_sibling_tails(state, 35.0)
     assert _interference.get_harm(make_filler(), worker, state) is None
 
 
-def test_lone_task_within_its_target_teaches_nothing():
+def test_single_task_within_its_target_is_not_learned():
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_serving(), load=30.0)
@@ -174,20 +174,20 @@
     assert not state.model.images
 
 
-def test_hotter_task_of_a_job_is_not_blamed_on_its_neighbours():
+def test_higher_load_of_a_task_is_not_attributed_to_other_images():
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_serving())
     for _ in range(20):
         state.now_ms += 400
-        show_siblings(state, 20.0)
+        set_sibling_tails(state, 20.0)
         _tails.note_load(attempt, 30.0, state.now_ms)
         _interference.learn(worker, state)
     assert attempt.load_part == pytest.approx(4 / 3, abs=0.02)
     assert _interference.get_shown(attempt, state, 0.0) == 0
 
 
-def test_tail_by_now_is_made_out_from_smoothed_readings():
+def test_current_tail_is_estimated_from_smoothed_readings():
     state = make_state()
     attempt = make_attempt(state.workers['w0'], make_serving())
     for number, reading in enumerate((242.0, 134.0, 80.0, 54.0)):
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize('slowdown', [1.0, 1.2, 1.6])
 @pytest.mark.parametrize('load', [0.1, 0.5])
-def test_tails_and_slowdowns_turn_into_each_other(slowdown, load):
+def test_tails_and_slowdowns_convert_into_each_other(slowdown, load):
     tail_ms = _tails.compute_tail_ms(slowdown, 10.0, load)
     found = _tails.compute_slowdown(tail_ms, 10.0, load)
     assert found == pytest.approx(slowdown)
@@ -212,21 +212,21 @@
 
 
 def pace_for(state, worker, until_ms, every_ms=400):
-    """Read the worker's tails again and again; return when each rested."""
+    """Adjust paces repeatedly; return when each job was paused, in ms."""
     began_ms = state.now_ms
-    rested = {}
+    paused_after_ms = {}
     while state.now_ms - began_ms <= until_ms:
-        show_siblings(state, 33.0)
+        set_sibling_tails(state, 33.0)
         pace(state, worker)
         for attempt in worker.fillers.values():
             if attempt.wanted_percent == 0:
                 age_ms = state.now_ms - began_ms
-                rested.setdefault(attempt.key.job_id, age_ms)
+                paused_after_ms.setdefault(attempt.key.job_id, age_ms)
         state.now_ms += every_ms
-    return rested
+    return paused_after_ms
 
 
-def test_short_miss_is_borne():
+def test_short_miss_is_tolerated():
     state = make_state()
     worker = state.workers['w0']
     make_attempt(worker, make_serving(), load=70.0)
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize('every_ms', [400, 1000])
-def test_all_neighbours_rest_before_a_miss_lasts_as_long_as_users_bear(
+def test_all_opportunistic_tasks_are_paused_before_a_miss_is_too_long(
     every_ms,
 ):
     state = make_state()
@@ -245,12 +245,12 @@
     make_attempt(worker, make_filler('innocent'), 'c')
     set_pair(state, 'web', 'guilty', 0.3)
     set_pair(state, 'web', 'innocent', 0.0)
-    rested = pace_for(state, worker, 4000, every_ms)
-    assert set(rested) == {'b', 'c'}
-    assert max(rested.values()) <= 2000
+    paused_after_ms = pace_for(state, worker, 4000, every_ms)
+    assert set(paused_after_ms) == {'b', 'c'}
+    assert max(paused_after_ms.values()) <= 2000
 
 
-def test_miss_that_ends_and_begins_again_is_counted_anew():
+def test_miss_that_ends_and_recurs_is_timed_anew():
     state = make_state()
     worker = state.workers['w0']
     serving = make_attempt(worker, make_serving(), load=70.0)
@@ -262,7 +262,7 @@
     assert pace_for(state, worker, 1200) == {}
 
 
-def test_reading_below_the_target_by_chance_does_not_end_a_miss():
+def test_single_reading_below_the_target_does_not_end_a_miss():
     state = make_state()
     worker = state.workers['w0']
     serving = make_attempt(worker, make_serving(), load=52.0)
@@ -270,39 +270,39 @@
     began_ms = state.now_ms
     for tail_ms in (52.0, 53.0, 47.0, 52.0, 46.0, 53.0):
         serving.tail_ms = tail_ms
-        show_siblings(state, 33.0)
+        set_sibling_tails(state, 33.0)
         pace(state, worker)
         state.now_ms += 400
     assert filler.wanted_percent == 0
     assert state.now_ms - began_ms < 4000
 
 
-def test_tail_that_still_rises_tells_the_least_that_a_pair_does():
+def test_rising_tail_gives_a_lower_bound_of_the_slowdown():
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_serving(), load=20.0)
     make_attempt(worker, make_filler(), 'b', load=1000.0)
     state.now_ms += 400
-    show_siblings(state, 20.0)
+    set_sibling_tails(state, 20.0)
     _tails.note_load(attempt, 60.0, state.now_ms)
     _interference.learn(worker, state)
     assert state.model.get_weight('web', 'batch') > 0.1
 
 
-def test_tail_that_still_falls_blames_nobody():
+def test_falling_tail_is_attributed_to_no_image():
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_serving(), load=80.0)
     make_attempt(worker, make_filler(), 'b', load=500.0)
     worker.exposure = {'batch': 3.0}
     state.now_ms += 400
-    show_siblings(state, 20.0)
+    set_sibling_tails(state, 20.0)
     _tails.note_load(attempt, 60.0, state.now_ms)
     _interference.learn(worker, state)
     assert not state.model.images
 
 
-def test_all_are_slowed_where_none_is_to_blame_and_it_lasts():
+def test_all_are_slowed_if_a_long_miss_has_no_known_cause():
     state = make_state()
     worker = state.workers['w0']
     make_attempt(worker, make_serving(), load=90.0)
@@ -336,7 +336,7 @@
     return job
 
 
-def test_job_that_can_be_on_time_goes_before_a_lost_one():
+def test_job_that_can_be_in_time_goes_before_a_late_one():
     state = make_state()
     state.run_times_ms['q'] = 1000.0
     make_job(state, 'lost', NOW_MS - 60_000, (Step(1),))
@@ -357,7 +357,7 @@
     assert _ranking.compute_depths(JobRequest('', steps)) == (3, 2, 1, 1)
 
 
-def test_long_running_tasks_that_come_together_are_placed_by_image():
+def test_long_running_tasks_of_a_batch_are_placed_by_image():
     state = make_state()
     small = make_serving('small', 1000)
     spread = attrs.evolve(make_serving('big', 1000), max_per_worker=1)
@@ -369,7 +369,7 @@
     assert order == ['c', 'b', 'a']
 
 
-def test_long_running_tasks_leave_room_in_one_piece():
+def test_long_running_tasks_leave_capacity_in_large_pieces():
     state = make_state(4)
     for index in range(8):
         step = make_serving()
@@ -407,7 +407,7 @@
     assert first == again
 
 
-def test_tail_that_no_neighbour_can_cause_teaches_nothing():
+def test_impossible_tail_is_not_learned():
     state = make_state()
     worker = state.workers['w0']
     make_attempt(worker, make_serving())
@@ -433,7 +433,7 @@
     return make_job(state, 'a', NOW_MS, steps)
 
 
-def test_worker_whose_tails_are_absurd_is_left_and_emptied():
+def test_worker_with_extreme_tails_is_quarantined_and_vacated():
     state = make_state(2)
     worker = state.workers['w0']
     job = add_job(state, make_serving())
@@ -444,7 +444,7 @@
     assert attempt.state is AttemptState.STOPPING
 
 
-def test_serving_task_stays_where_no_other_worker_has_room():
+def test_serving_task_stays_if_no_other_worker_has_capacity():
     state = make_state(1)
     worker = state.workers['w0']
     job = add_job(state, make_serving())
@@ -454,7 +454,7 @@
     assert attempt.state is AttemptState.RUNNING
 
 
-def test_busy_worker_is_not_left():
+def test_busy_worker_is_not_quarantined():
     state = make_state()
     worker = state.workers['w0']
     make_attempt(worker, make_serving(), load=18.0)
@@ -462,7 +462,7 @@
     assert worker.quarantined_until_ms == 0
 
 
-def test_task_that_uses_no_processor_is_moved():
+def test_task_that_uses_no_processor_is_moved_off():
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, Step(1, Resources(1000, 100)), 'b')
@@ -470,7 +470,7 @@
     assert attempt.state is AttemptState.STOPPING
 
 
-def test_task_set_to_work_again_has_time_before_it_counts_as_still():
+def test_resumed_task_has_time_before_it_counts_as_idle():
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_filler(), 'b')
@@ -492,7 +492,7 @@
     assert worker.quarantined_until_ms == 0
 
 
-def test_slowed_task_does_not_count_as_still():
+def test_slowed_task_does_not_count_as_idle():
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_filler(), 'b')
--- a/tests/tulippin/jobs/test_scheduler_starving.py
+++ b/tests/tulippin/jobs/test_scheduler_starving.py
@@ -1,4 +1,4 @@
-"""Jobs with nothing running beside idle processors get a share of them."""
+"""Jobs without a run get a share of idle processors."""
 
 import logbook
 import pytest
@@ -15,13 +15,12 @@
 SERVING = '0000000000000001'
 BATCH = '0000000000000002'
 WORKERS = 4
-# What users bear without a run of a job beside processors that are mostly
-# idle.
-BORNE_S = 3.5
+# How long users accept a job without a run while most processors are idle.
+MAX_IDLE_S = 3.5
 
 
-def fear(fleet):
-    """Have the owner be sure that one image harms another by far."""
+def expect_harm(fleet):
+    """Make the owner's model certain that one image harms another."""
     state = fleet.instances[fleet.get_owner()].state
     model = state.model.images.setdefault('web', ImageModel())
     model.means['batch'] = 5.0
@@ -29,17 +28,14 @@
     model.sample_counts['batch'] = 50
 
 
-# What users saw: at the end of a day jobs that could run had nothing running
-# for 20 s, while over half of the processors were idle. Order of events: all
-# workers serve tasks with a target, and most are thought to bear no more of
-# an image; what they would bear goes to jobs that can still be in time. Cause:
-# a job that is late has no share of the starts, however idle the workers
-# are. Evidence: 18 of 24 workers refused its tasks, and 514 of 973 starts
-# meanwhile were of jobs accepted later.
+# Guards against jobs that have nothing running for 20 s while over half of the
+# processors are idle. All workers serve tasks with a target, and most are
+# expected to tolerate no more of an image; the remaining allowance goes to jobs
+# that can still be in time, so a late job gets no share of the starts: 18 of 24
+# workers rejected its tasks, and 514 of 973 starts meanwhile were of jobs
+# accepted later.
 @pytest.mark.parametrize('serving_cpu', [2000, 4000])
-def test_job_with_nothing_running_starts_beside_idle_processors(
-    run_virtual, serving_cpu
-):
+def test_job_without_a_run_starts_on_idle_processors(run_virtual, serving_cpu):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             serving = make_step(
@@ -53,17 +49,17 @@
             await fleet.submit(SERVING, make_request(serving, lasts=True))
             await fleet.wait_running(WORKERS)
             await trio.sleep(1)
-            fear(fleet)
+            expect_harm(fleet)
             batch = make_step(3, 4000, opportunistic=True, image='batch')
             await fleet.submit(BATCH, make_request(batch), PATIENT)
-            await fleet.wait_running(WORKERS + 1, limit_s=BORNE_S)
+            await fleet.wait_running(WORKERS + 1, limit_s=MAX_IDLE_S)
             await fleet.wait_done(BATCH, limit_s=20)
             fleet.check()
 
     run_virtual(run)
 
 
-def test_log_tells_what_is_expected_of_work_that_waits(run_virtual):
+def test_log_has_the_expected_harm_of_waiting_work(run_virtual):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             serving = make_step(
@@ -77,7 +73,7 @@
             await fleet.submit(f'{1:016x}', make_request(serving, lasts=True))
             await fleet.wait_running(WORKERS)
             await trio.sleep(1)
-            fear(fleet)
+            expect_harm(fleet)
             batch = make_step(3, 4000, opportunistic=True, image='batch')
             await fleet.submit(f'{2:016x}', make_request(batch), PATIENT)
             await trio.sleep(2.2)
--- a/tests/tulippin/jobs/test_scheduler_units.py
+++ b/tests/tulippin/jobs/test_scheduler_units.py
@@ -1,4 +1,4 @@
-"""Several units in a fleet: owners, homes, and tasks passed between."""
+"""Fleets with several units: owners, home units and transfers."""
 
 import collections
 import contextlib
@@ -31,7 +31,7 @@
 
 @contextlib.asynccontextmanager
 async def open_units(instances=6, workers=60, rack_size=RACK):
-    """Run a fleet whose workers stand in racks of several units."""
+    """Open a fleet whose racks belong to several units."""
     async with open_fleet(instances, workers, rack_size=rack_size) as fleet:
         with trio.fail_after(15):
             while (
@@ -44,7 +44,7 @@
 
 
 def get_owners(fleet):
-    """Return the owner's name of each unit, or nothing."""
+    """Return the name of each unit's owner, or None."""
     owners = {}
     for name, instance in fleet.instances.items():
         for number, unit in instance.shell.units.items():
@@ -66,7 +66,7 @@
 
 
 def get_running(fleet):
-    """Return how often each task runs now."""
+    """Return the number of current runs of each task."""
     return collections.Counter(
         key
         for worker in fleet.platform.workers.values()
@@ -135,25 +135,25 @@
     run_virtual(run, seed=seed)
 
 
-def make_lasting(count, cores=10):
+def make_long_running(count, cores=10):
     step = make_step(count, cores * CORE, long_running=True)
     return make_request(step, lasts=True)
 
 
-async def fill_one_unit(fleet, count=60):
-    """Let a unit with room for less have all tasks; return its number.
+async def overfill_one_unit(fleet, count=60):
+    """Submit more tasks to unit 0 than fit there.
 
-    Each unit's workers hold one task each of ten cores.
+    Each worker fits one task of ten cores.
     """
     for instance in fleet.instances.values():
         instance.shell.choose_unit = lambda request: 0
-    await submit(fleet, f'{1:016x}', make_lasting(count))
+    await submit(fleet, f'{1:016x}', make_long_running(count))
 
 
-def test_tasks_that_find_no_room_run_in_other_units(run_virtual):
+def test_tasks_without_capacity_run_in_other_units(run_virtual):
     async def run():
         async with open_units() as fleet:
-            await fill_one_unit(fleet)
+            await overfill_one_unit(fleet)
             with trio.fail_after(6):
                 while len(get_running(fleet)) < 60:
                     await trio.sleep(0.05)
@@ -165,13 +165,13 @@
     run_virtual(run)
 
 
-def test_without_passing_they_would_wait(run_virtual, monkeypatch):
+def test_without_transfers_tasks_would_wait(run_virtual, monkeypatch):
     monkeypatch.setattr(_passing, '_choose_unit', lambda *_, **__: None)
     monkeypatch.setattr(_evening, 'choose_units', lambda state: {})
 
     async def run():
         async with open_units() as fleet:
-            await fill_one_unit(fleet)
+            await overfill_one_unit(fleet)
             await trio.sleep(6)
             assert len(get_running(fleet)) < 60
 
@@ -181,7 +181,7 @@
 def test_cancel_reaches_tasks_in_all_units(run_virtual):
     async def run():
         async with open_units() as fleet:
-            await fill_one_unit(fleet)
+            await overfill_one_unit(fleet)
             await fleet.wait_running(60)
             intake = next(iter(fleet.instances.values())).intake
             assert await intake.cancel(f'{1:016x}', QUEUE, LIMIT_MS)
@@ -197,9 +197,9 @@
 
 
 async def run_crashing_guest(fleet):
-    """Pass a crashing task to another unit; return its workers' crashes."""
+    """Transfer a crashing task to another unit; return the crash events."""
     fleet.platform.back_after_ms = 1500
-    await fill_one_unit(fleet, 45)
+    await overfill_one_unit(fleet, 45)
     await fleet.wait_running(45)
     step = make_step(1, 10 * CORE, long_running=True)
     crashing = make_request(step, lasts=True, crashes_after_ms=10)
@@ -226,7 +226,7 @@
     run_virtual(run)
 
 
-def test_unit_that_tells_no_failure_would_leave_it_running(
+def test_without_failure_reports_the_job_would_not_fail(
     run_virtual, monkeypatch
 ):
     monkeypatch.setattr(_lifecycle, '_tell_failed', lambda *_: None)
@@ -240,10 +240,10 @@
     assert run_virtual(run) is not JobState.FAILED
 
 
-def test_passed_tasks_outlive_all_owners(run_virtual):
+def test_transferred_tasks_survive_the_loss_of_all_owners(run_virtual):
     async def run():
         async with open_units() as fleet:
-            await fill_one_unit(fleet)
+            await overfill_one_unit(fleet)
             await fleet.wait_running(60)
             for name in list(fleet.instances):
                 fleet.kill(name)
@@ -258,12 +258,12 @@
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_owner_lost_while_it_passes_tasks_on(run_virtual, seed):
+def test_owner_lost_during_a_transfer(run_virtual, seed):
     async def run():
         async with open_units() as fleet:
             fleet.platform.store.source.seed(seed)
             fleet.platform.store.trouble.lost_answer_share = 0.1
-            await fill_one_unit(fleet)
+            await overfill_one_unit(fleet)
             await trio.sleep(0.75 + 0.06 * seed)
             name = get_owners(fleet)[0]
             if name:
@@ -279,12 +279,14 @@
     run_virtual(run, seed=seed)
 
 
-def test_tasks_are_told_of_once_they_are_durably_gone(run_virtual, monkeypatch):
-    told = []
+def test_units_are_notified_once_a_transfer_is_durable(
+    run_virtual, monkeypatch
+):
+    notified = []
 
     async def make_pass(effect, shell):
         durable = shell.state.jobs[effect.job_id].durable
-        told.append(set(effect.record.passes) <= set(durable.passed))
+        notified.append(set(effect.record.passes) <= set(durable.passed))
         return await original(effect, shell)
 
     original = _row_effects._make_pass
@@ -292,16 +294,16 @@
 
     async def run():
         async with open_units() as fleet:
-            await fill_one_unit(fleet)
+            await overfill_one_unit(fleet)
             await fleet.wait_running(60)
 
     run_virtual(run)
-    assert told
-    assert all(told)
+    assert notified
+    assert all(notified)
 
 
 def teach(instance, number, image='batch'):
-    """Let a unit's owner learn that an image disturbs another."""
+    """Teach a unit's owner that an image disturbs another."""
     state = instance.shell.units[number].state
     for _ in range(30):
         state.model.learn('serving', {image: 1.0}, 0.3)
@@ -312,7 +314,7 @@
     return state.model.get_weight('serving', 'batch')
 
 
-def test_next_owner_begins_with_what_the_last_one_learned(run_virtual):
+def test_new_owner_starts_with_the_previous_model(run_virtual):
     async def run():
         async with open_fleet(instances=2) as fleet:
             owner = fleet.get_owner()
@@ -326,7 +328,7 @@
     run_virtual(run)
 
 
-def test_planned_stop_hands_over_what_was_learned_last(run_virtual):
+def test_planned_stop_hands_over_the_latest_model(run_virtual):
     async def run():
         async with open_fleet(instances=2) as fleet:
             owner = fleet.get_owner()
@@ -340,7 +342,7 @@
     run_virtual(run)
 
 
-def test_owners_hear_what_the_others_learned(run_virtual):
+def test_owners_receive_the_models_of_others(run_virtual):
     async def run():
         async with open_units() as fleet:
             owners = get_owners(fleet)
@@ -353,11 +355,11 @@
     run_virtual(run)
 
 
-# What each event costs the owner: more than it has time for.
-EVENT_S = 0.02
+# Processing time per event, more than the owner can keep up with.
+EVENT_COST_S = 0.02
 
 
-def test_units_settle_where_all_instances_have_too_many(run_virtual):
+def test_ownership_settles_when_all_instances_have_too_many_units(run_virtual):
     async def run():
         async with open_units(2, workers=300, rack_size=30) as fleet:
             await trio.sleep(30)
@@ -373,7 +375,7 @@
 
 
 def count_epochs(fleet):
-    """Return how often any unit has changed its owner."""
+    """Return how often units have changed their owner in total."""
     epochs = collections.Counter()
     for instance in fleet.instances.values():
         for number, unit in instance.shell.units.items():
@@ -383,13 +385,13 @@
 
 
 async def run_slow_owner(fleet, monkeypatch, clock):
-    """Load an owner to which every event takes time; return its epoch."""
+    """Load an owner with slow event processing; return the last epoch."""
     original = UnitShell.step
 
     def step(unit, event):
         original(unit, event)
         if unit.is_held:
-            clock.jump(EVENT_S)
+            clock.jump(EVENT_COST_S)
 
     monkeypatch.setattr(UnitShell, 'step', step)
     for number in range(60):
@@ -414,7 +416,9 @@
     run_virtual(run)
 
 
-def test_renewals_behind_the_load_would_lose_it(run_virtual, monkeypatch):
+def test_renewals_queued_behind_other_events_would_lose_the_unit(
+    run_virtual, monkeypatch
+):
     monkeypatch.setattr(events, 'OWNERSHIP_EVENTS', ())
 
     async def run():
--- a/tests/tulippin/jobs/test_scheduler_waiting.py
+++ b/tests/tulippin/jobs/test_scheduler_waiting.py
@@ -1,21 +1,19 @@
-"""Jobs that wait with nothing running, beside workers that are mostly idle.
-
-What users saw: at the end of a day, 16 s after the last job, accepted jobs
-had nothing running while over half of the processors were idle; some had
-been accepted a minute before and never had a run. Order of events: all
-workers serve tasks with a target; most opportunistic work is expected to
-slow these by more than they bear, and waits; all instances lose their
-processes, and the next owner loads 40 jobs as if they had just come; jobs
-that the workers bear go on being started, with many tasks each, and jobs of
-heavier images do not. Causes: no job has a claim to any start, however long
-it has had nothing running, while the workers are expected to be harmed; how
-long a job has waited is forgotten with its owner; and expectations far too
-high, from tails that were held against siblings just started, are never
-looked at again. Evidence: the log of five plays, by `work waits`: 40 to 48
-jobs with nothing running for 15.2 s at 15.2 s after the taking, 1 to 9 of
-them 16 s later, for up to 30 s, beside 1,120 to 1,450 idle cores of 2,460;
-by `slowdown learned`: one reading each of tails of 80 to 1,128 ms beside
-siblings of 10 ms, which made expectations 4 to 20 times too high.
+"""Jobs that have nothing running while most processors are idle.
+
+Guards against accepted jobs that wait for up to a minute without a run while
+over half of the processors are idle. All workers serve tasks with a target, and
+most opportunistic images are expected to slow them by more than the allowance.
+All instances restart, and lighter jobs are started while heavier ones are not.
+There were three causes:
+
+- no job was guaranteed a start, however long it had nothing running, while
+  harm to the workers was expected;
+- the waiting time of a job was lost with its owner: 40 to 48 jobs had nothing
+  running 15.2 s after a takeover, and 1 to 9 of them still 16 s later, for up
+  to 30 s, with 1,120 to 1,450 of 2,460 cores idle;
+- expected slowdowns were 4 to 20 times too high and never checked again, as
+  tails of 80 to 1,128 ms were compared with siblings of 10 ms that had just
+  started.
 """
 
 import attrs
@@ -47,22 +45,22 @@
 LIMIT_MS = 3000
 WORKERS = 6
 TARGET_MS = 50
-LOOK_S = 0.05
-# What users bear without a run of a job beside processors that are mostly
-# idle, and half a second for looking.
-BORNE_S = 3.5
-# How long they bear a target missed by what works beside it.
-HARM_S = 4.0
-# A tail at rest, and what a task adds to it at full pace.
-CALM_MS = 12.0
+POLL_INTERVAL_S = 0.05
+# How long users accept a job without a run while most processors are idle, and
+# half a second for polling.
+MAX_IDLE_S = 3.5
+# How long users accept a target missed because of opportunistic tasks.
+MAX_HARM_S = 4.0
+# The undisturbed tail, and what a task adds to it at full pace.
+UNDISTURBED_MS = 12.0
 HEAVY_MS = 25.0
 LIGHT_MS = 3.0
 NOW_MS = 100_000
 
 
 @pytest.fixture
-def press(monkeypatch):
-    """Let the tails on a worker follow what works beside them there."""
+def tails_follow_load(monkeypatch):
+    """Let the tails on a worker follow its opportunistic tasks."""
 
     def get_load(worker, plan):
         if not plan.lasts:
@@ -73,8 +71,8 @@
 
 
 def get_tail_ms(worker):
-    """Return what opportunistic tasks make of the tails beside them."""
-    return CALM_MS + sum(
+    """Return the tail on a worker with its current opportunistic tasks."""
+    return UNDISTURBED_MS + sum(
         run.plan.tail_ms * run.pace_percent / 100
         for run in worker.runs.values()
         if not run.plan.lasts
@@ -87,7 +85,7 @@
 
 
 async def serve(fleet):
-    """Have every worker serve a task with a target."""
+    """Run one task with a latency target on every worker."""
     step = make_step(
         WORKERS,
         2000,
@@ -101,8 +99,8 @@
     await trio.sleep(1)
 
 
-def fear(fleet, *images):
-    """Have the owner be sure that images harm the one that is served."""
+def expect_harm(fleet, *images):
+    """Make the owner's model certain that images harm the served one."""
     state = fleet.instances[fleet.get_owner()].state
     model = state.model.images.setdefault('web', ImageModel())
     for image in images:
@@ -111,16 +109,16 @@
         model.sample_counts[image] = 50
 
 
-def make_batch(count, image='heavy', run_ms=1500, press_ms=HEAVY_MS):
+def make_batch(count, image='heavy', run_ms=1500, added_tail_ms=HEAVY_MS):
     step = make_step(count, 2000, opportunistic=True, image=image)
-    return make_request(step, run_ms=run_ms, tail_ms=press_ms)
+    return make_request(step, run_ms=run_ms, tail_ms=added_tail_ms)
 
 
 @attrs.define
 class Watch:
-    """For how long, at most, jobs had nothing running, and harm lasted.
+    """Measures the longest time without a run per job, and of missed targets.
 
-    ``harm_s`` counts while a target is missed beside tasks that work.
+    ``idle_s`` holds the first by job id, and ``harm_s`` is the second.
     """
 
     fleet: object
@@ -130,21 +128,21 @@
     _harmed_since_s: dict = attrs.field(factory=dict)
 
     async def run(self, job_ids, for_s):
-        """Look until all jobs are done; ``for_s`` at most."""
+        """Poll until all jobs are done or time is over; return the rest."""
         until_s = trio.current_time() + for_s
         open_jobs = set(job_ids)
         while open_jobs and trio.current_time() < until_s:
-            open_jobs -= self._look(open_jobs)
-            await trio.sleep(LOOK_S)
+            open_jobs -= self._poll(open_jobs)
+            await trio.sleep(POLL_INTERVAL_S)
         return open_jobs
 
-    def _look(self, job_ids):
+    def _poll(self, job_ids):
         now_s = trio.current_time()
         running = set()
         for worker in self.fleet.platform.workers.values():
             worker.tick()
             running.update(key.job_id for key, _ in worker.runs)
-            self._look_at_harm(worker, now_s)
+            self._check_harm(worker, now_s)
         done = {job_id for job_id in job_ids if self._is_done(job_id)}
         for job_id in job_ids - done:
             since_s = self._idle_since_s.setdefault(job_id, now_s)
@@ -154,7 +152,7 @@
             self.idle_s[job_id] = max(self.idle_s.get(job_id, 0), idle_s)
         return done
 
-    def _look_at_harm(self, worker, now_s):
+    def _check_harm(self, worker, now_s):
         if get_tail_ms(worker) <= TARGET_MS:
             self._harmed_since_s.pop(worker.worker_id, None)
             return
@@ -171,57 +169,61 @@
     return {f'{number:016x}' for number in numbers}
 
 
-# -- a claim to a run --------------------------------------------------------
+# -- guaranteed starts -------------------------------------------------------
 
 
 @pytest.mark.parametrize('jobs', [6, 12])
-def test_every_job_has_a_run_once_no_job_comes(run_virtual, press, jobs):
+def test_every_job_gets_a_run_once_no_more_arrive(
+    run_virtual, tails_follow_load, jobs
+):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             numbers = range(10, 10 + jobs)
             for number in numbers:
                 await submit(fleet, number, make_batch(3), PATIENT)
             watch = Watch(fleet)
             left = await watch.run(get_ids(numbers), for_s=60)
             assert not left
-            assert max(watch.idle_s.values()) < BORNE_S
-            assert watch.harm_s < HARM_S
+            assert max(watch.idle_s.values()) < MAX_IDLE_S
+            assert watch.harm_s < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
-def test_old_job_has_a_run_while_lighter_ones_come(run_virtual, press):
+def test_old_job_gets_a_run_while_lighter_ones_arrive(
+    run_virtual, tails_follow_load
+):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             await submit(fleet, 10, make_batch(3), PATIENT)
-            fleet.nursery.start_soon(keep_coming, fleet)
+            fleet.nursery.start_soon(submit_light_jobs, fleet)
             watch = Watch(fleet)
             left = await watch.run(get_ids([10]), for_s=40)
             assert not left
-            assert watch.idle_s[f'{10:016x}'] < BORNE_S
+            assert watch.idle_s[f'{10:016x}'] < MAX_IDLE_S
             fleet.check()
 
     run_virtual(run)
 
 
-async def keep_coming(fleet):
+async def submit_light_jobs(fleet):
     for number in range(100, 200):
         request = make_batch(2, 'light', 800, LIGHT_MS)
         await submit(fleet, number, request, PATIENT)
         await trio.sleep(0.5)
 
 
-# -- what an owner knows of those before it ----------------------------------
+# -- state restored from previous owners -------------------------------------
 
 
 @pytest.mark.parametrize('waited_s', [2.0, 10.0])
-def test_owner_knows_how_long_jobs_of_the_last_one_have_waited(
-    run_virtual, press, waited_s
+def test_new_owner_knows_how_long_jobs_have_waited(
+    run_virtual, tails_follow_load, waited_s
 ):
     async def run():
         async with open_fleet(instances=2, workers=WORKERS) as fleet:
@@ -236,14 +238,14 @@
             state = fleet.instances[fleet.get_owner()].state
             with trio.fail_after(5):
                 while f'{10:016x}' not in state.jobs:
-                    await trio.sleep(LOOK_S)
+                    await trio.sleep(POLL_INTERVAL_S)
             arrived_s = state.jobs[f'{10:016x}'].arrived_ms / 1000
             assert arrived_s == pytest.approx(accepted_s, abs=0.2)
 
     run_virtual(run)
 
 
-# -- what is expected of neighbours ------------------------------------------
+# -- expected slowdowns ------------------------------------------------------
 
 
 def make_worker(state, name):
@@ -270,8 +272,8 @@
 
 
 @pytest.mark.parametrize('young_ms', [50, 400, 900])
-def test_sibling_just_started_does_not_show_the_undisturbed_tail(young_ms):
-    """A tail is told smoothed, and begins with that of no load at all."""
+def test_recently_started_sibling_does_not_set_the_undisturbed_tail(young_ms):
+    """A reported tail is smoothed, and starts from that of an idle task."""
     state = SchedulerState(SchedulerConfig('i', 'i:1'), now_ms=NOW_MS)
     serving = Step(
         1,
@@ -285,13 +287,13 @@
     old = make_attempt(state, disturbed, serving, 0, age_ms=9000, load=30.0)
     make_attempt(state, disturbed, filler, 0, age_ms=5000, load=1000.0)
     for number in (1, 2):
-        calm = make_worker(state, f'w{number}')
+        undisturbed = make_worker(state, f'w{number}')
         attempt = make_attempt(
-            state, calm, serving, number, age_ms=young_ms, load=10.0
+            state, undisturbed, serving, number, age_ms=young_ms, load=10.0
         )
         _tails.note_load(attempt, 10.0, state.now_ms)
-        _interference.learn(calm, state)
+        _interference.learn(undisturbed, state)
     _tails.note_load(old, 30.0, state.now_ms)
     _interference.learn(disturbed, state)
-    # 30 ms is what half of its load makes of 10 ms, with no neighbour at all.
+    # Half of the load alone turns 10 ms into 30 ms.
     assert state.model.get_weight('web', 'batch') <= 0.1
--- a/tests/tulippin/jobs/test_scheduler_waiting_review.py
+++ b/tests/tulippin/jobs/test_scheduler_waiting_review.py
@@ -1,26 +1,25 @@
-"""Other ways for work that may run to wait beside idle workers.
+"""Further cases of runnable jobs that wait while workers are idle.
 
-Found by a review of the incident that test_scheduler_waiting tells: what
-has no claim to a start, what is held against others than it was found for,
-and what is forgotten of a wait.
+These extend test_scheduler_waiting: tasks without a guaranteed start, findings
+applied to tasks that they don't hold for, and waiting times that are lost.
 """
 
 import attrs
 import pytest
 import trio
 from test_scheduler_waiting import (
-    BORNE_S,
-    HARM_S,
     HEAVY_MS,
+    MAX_HARM_S,
+    MAX_IDLE_S,
     TARGET_MS,
     WORKERS,
     Watch,
-    fear,
+    expect_harm,
     get_ids,
     make_batch,
-    press,
     serve,
     submit,
+    tails_follow_load,
 )
 
 from fleet_of_schedulers import (
@@ -55,29 +54,29 @@
 from tulippin.platform.standin_worker import StandinWorker
 from tulippin.types import Resources
 
-__all__ = ('press',)
+__all__ = ('tails_follow_load',)
 
-# All of its jobs are late at once, so that the first to come goes first.
+# All of its jobs are late at once, so they are placed in order of arrival.
 LATE = Queue('p', 'host', '/p/', 'catalogue', 2, 3, 0.1, 1)
 ADVISED = attrs.evolve(LATE, advised=True)
 HUGE = 60_000
 
 
 async def wait_one(fleet, number, for_s=12):
-    """Return for how long a job was without a run at most."""
+    """Return the longest time that a job was without a run."""
     watch = Watch(fleet)
     await watch.run(get_ids([number]), for_s=for_s)
     return watch.idle_s[f'{number:016x}']
 
 
 @pytest.mark.parametrize('jobs', [3, 12, 30])
-def test_jobs_that_fit_nowhere_keep_no_other_from_its_run(
-    run_virtual, press, jobs
+def test_jobs_that_fit_nowhere_do_not_block_others(
+    run_virtual, tails_follow_load, jobs
 ):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             for number in range(100, 100 + jobs):
                 step = make_step(
                     1,
@@ -89,19 +88,19 @@
                 await submit(fleet, number, make_request(step), PATIENT)
             await trio.sleep(1)
             await submit(fleet, 10, make_batch(1), PATIENT)
-            assert await wait_one(fleet, 10) < BORNE_S
+            assert await wait_one(fleet, 10) < MAX_IDLE_S
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('first', [True, False])
-def test_step_that_fits_nowhere_keeps_no_other_of_its_job(
-    run_virtual, press, first
+def test_step_that_fits_nowhere_does_not_block_others_of_its_job(
+    run_virtual, tails_follow_load, first
 ):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             steps = [
                 make_step(
                     1,
@@ -116,12 +115,12 @@
                 steps.reverse()
             request = make_request(*steps, run_ms=1500, tail_ms=HEAVY_MS)
             await submit(fleet, 10, request, PATIENT)
-            await fleet.wait_running(WORKERS + 1, limit_s=BORNE_S)
+            await fleet.wait_running(WORKERS + 1, limit_s=MAX_IDLE_S)
 
     run_virtual(run)
 
 
-def test_step_kept_off_by_its_label_closes_no_worker_to_its_image(
+def test_step_limited_by_its_label_does_not_block_its_image(
     run_virtual,
 ):
     async def run():
@@ -143,13 +142,13 @@
             await submit(fleet, 11, request, LATE)
             await fleet.wait_running(1, limit_s=1)
             await trio.sleep(1.5)
-            # Nothing else runs, and nothing is expected to be harmed.
+            # Nothing else runs, and no harm is expected.
             await fleet.wait_running(4, limit_s=1)
 
     run_virtual(run)
 
 
-def test_large_memory_closes_no_worker_to_lighter_tasks_of_the_image(
+def test_rejected_memory_does_not_block_lighter_tasks_of_the_image(
     run_virtual,
 ):
     async def run():
@@ -172,14 +171,14 @@
     run_virtual(run)
 
 
-def test_advice_is_asked_for_behind_refused_work_of_the_image(
-    run_virtual, press
+def test_advice_is_requested_despite_rejected_tasks_of_the_image(
+    run_virtual, tails_follow_load
 ):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             fleet.advisor.allowed = {f'w{one}' for one in range(WORKERS)}
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             await submit(fleet, 10, make_batch(200), LATE)
             steps = (
                 make_step(1, 2000, opportunistic=True, image='light'),
@@ -189,16 +188,16 @@
             )
             request = make_request(*steps, run_ms=1500, tail_ms=1)
             await submit(fleet, 11, request, ADVISED)
-            assert await wait_one(fleet, 11) < BORNE_S
+            assert await wait_one(fleet, 11) < MAX_IDLE_S
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('count', [1, 2])
-def test_worker_that_refuses_starts_is_not_chosen_for_ever(
-    run_virtual, press, monkeypatch, count
+def test_worker_that_rejects_starts_is_not_chosen_forever(
+    run_virtual, tails_follow_load, monkeypatch, count
 ):
-    """An empty worker looks best, and refuses what is started there."""
+    """An empty worker scores best, but rejects every start."""
     take = StandinWorker.take_start
     refusing = {f'w{number}' for number in range(count)}
 
@@ -212,18 +211,20 @@
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             await submit(fleet, 10, make_batch(1), PATIENT)
-            assert await wait_one(fleet, 10) < BORNE_S + count
+            assert await wait_one(fleet, 10) < MAX_IDLE_S + count
 
     run_virtual(run)
 
 
-def test_each_task_that_lasts_and_fills_has_a_claim(run_virtual, press):
+def test_each_opportunistic_long_running_task_is_started(
+    run_virtual, tails_follow_load
+):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             step = make_step(
                 3, 2000, opportunistic=True, image='heavy', long_running=True
             )
@@ -234,67 +235,69 @@
     run_virtual(run)
 
 
-def test_tries_to_place_a_gang_do_not_end_the_wait_of_its_job(
-    run_virtual, press
+def test_attempts_to_place_a_gang_do_not_reset_the_wait_of_its_job(
+    run_virtual, tails_follow_load
 ):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             steps = (
-                # Only one of its members finds a place on each worker.
+                # Only one of its members fits on each worker.
                 make_step(WORKERS + 1, 9000, gang=True),
                 make_step(1, 2000, opportunistic=True, image='heavy'),
             )
             request = make_request(*steps, run_ms=1500, tail_ms=HEAVY_MS)
             await submit(fleet, 10, request, PATIENT)
-            await fleet.wait_running(WORKERS + 1, limit_s=BORNE_S)
+            await fleet.wait_running(WORKERS + 1, limit_s=MAX_IDLE_S)
 
     run_virtual(run)
 
 
-def test_task_larger_than_the_memory_left_by_rule_starts_on_idle_workers(
+def test_task_above_the_memory_limit_starts_on_empty_workers(
     run_virtual,
 ):
     async def run():
         async with open_fleet(instances=1, workers=2) as fleet:
-            # 30 of the 64 GB of workers with nothing else on them.
+            # 30 of the 64 GB of an empty worker.
             step = Step(
                 1, Resources(2000, 30_000), opportunistic=True, image='x'
             )
             await submit(fleet, 10, make_request(step), PATIENT)
-            await fleet.wait_running(1, limit_s=BORNE_S)
+            await fleet.wait_running(1, limit_s=MAX_IDLE_S)
 
     run_virtual(run)
 
 
-def test_jobs_beyond_the_places_for_slow_runs_wait_no_longer(
-    run_virtual, press
+def test_jobs_beyond_the_limit_of_slow_starts_wait_no_longer(
+    run_virtual, tails_follow_load
 ):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             numbers = range(10, 10 + 4 * WORKERS)
             for number in numbers:
                 await submit(fleet, number, make_batch(1), PATIENT)
             watch = Watch(fleet)
             await watch.run(get_ids(numbers), for_s=60)
-            assert watch.harm_s < HARM_S
-            assert max(watch.idle_s.values()) < BORNE_S
+            assert watch.harm_s < MAX_HARM_S
+            assert max(watch.idle_s.values()) < MAX_IDLE_S
 
     run_virtual(run)
 
 
-def test_slow_run_goes_where_it_is_borne_in_full(run_virtual, press):
+def test_slow_start_moves_to_a_worker_that_allows_full_pace(
+    run_virtual, tails_follow_load
+):
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             request = make_batch(1, run_ms=2000)
             await submit(fleet, 10, request, PATIENT)
-            await fleet.wait_running(WORKERS + 1, limit_s=BORNE_S)
-            # A worker with nothing on it joins a moment later.
+            await fleet.wait_running(WORKERS + 1, limit_s=MAX_IDLE_S)
+            # An empty worker joins a moment later.
             fleet.platform.add_worker('w9', labels=('a', 'r1'))
             await fleet.wait_done(f'{10:016x}', limit_s=8)
 
@@ -303,14 +306,14 @@
 
 @pytest.mark.parametrize('after_s', [2.0, 4.0])
 @pytest.mark.parametrize('jobs', [6, 16])
-def test_owner_lost_in_the_middle_of_slow_runs(
-    run_virtual, press, after_s, jobs
+def test_owner_lost_during_slow_starts(
+    run_virtual, tails_follow_load, after_s, jobs
 ):
     async def run():
         async with open_fleet(instances=2, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
-            # What is learned is kept for the next owner.
+            expect_harm(fleet, 'heavy')
+            # Wait until the model is stored for the next owner.
             await trio.sleep(2.5)
             numbers = range(10, 10 + jobs)
             for number in numbers:
@@ -322,14 +325,14 @@
             await fleet.wait_owner()
             for number in numbers:
                 await fleet.wait_done(f'{number:016x}', 60)
-            assert watch.harm_s < HARM_S
+            assert watch.harm_s < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('ahead_ms', [-2000, 2000])
-def test_clock_that_is_off_makes_no_job_much_older(run_virtual, ahead_ms):
+def test_clock_offset_makes_no_job_much_older(run_virtual, ahead_ms):
     async def run():
         async with open_fleet(instances=2, workers=1) as fleet:
             owner = fleet.get_owner()
@@ -349,10 +352,10 @@
     run_virtual(run)
 
 
-def test_jobs_that_can_never_be_done_close_no_sound_worker_for_long(
+def test_jobs_that_always_fail_do_not_block_healthy_workers(
     run_virtual,
 ):
-    """Each fails wherever it runs, and each worker is held to be at fault."""
+    """Each job fails wherever it runs, and made its worker count as faulty."""
 
     async def run():
         async with open_fleet(instances=1, workers=3) as fleet:
@@ -362,15 +365,15 @@
                 await submit(fleet, number, request, PATIENT)
             await trio.sleep(2)
             await submit(fleet, 10, make_batch(2, 'light', 800, 1), PATIENT)
-            assert await wait_one(fleet, 10, for_s=60) < BORNE_S
+            assert await wait_one(fleet, 10, for_s=60) < MAX_IDLE_S
 
     run_virtual(run)
 
 
-def test_slow_run_does_not_rest_for_ever_below_the_target(
+def test_slow_start_is_not_paused_forever_below_the_target(
     run_virtual, monkeypatch
 ):
-    """The tail is high by its own load, and no target is missed."""
+    """The tail is high because of its own load, and no target is missed."""
     monkeypatch.setattr(
         StandinWorker,
         '_get_load',
@@ -380,7 +383,7 @@
     async def run():
         async with open_fleet(instances=1, workers=WORKERS) as fleet:
             await serve(fleet)
-            fear(fleet, 'heavy')
+            expect_harm(fleet, 'heavy')
             await submit(fleet, 10, make_batch(1), PATIENT)
             await fleet.wait_done(f'{10:016x}', limit_s=60)
 
@@ -422,7 +425,9 @@
 
 @pytest.mark.parametrize('count', [1, 2, 3])
 @pytest.mark.parametrize('is_serving', [True, False])
-def test_slow_runs_go_on_in_full_where_they_disturb_nothing(count, is_serving):
+def test_slow_starts_reach_full_pace_where_they_disturb_nothing(
+    count, is_serving
+):
     state = make_state()
     worker = state.workers['w0']
     if is_serving:
@@ -447,7 +452,7 @@
     assert paces == [100] * count
 
 
-def test_time_of_a_scheduled_job_can_be_in_time_when_it_is_due():
+def test_occurrence_of_a_scheduled_job_is_in_time_when_due():
     state = make_state()
     state.run_times_ms['q'] = 1000.0
     request = JobRequest('t', (Step(1),), Schedule(NOW_MS, 5000, 4))
--- a/tests/tulippin/jobs/test_unknown_rooms.py
+++ b/tests/tulippin/jobs/test_unknown_rooms.py
@@ -1,23 +1,15 @@
-"""Workers that an owner knows by their ids alone: their room is not known.
-
-What users saw: instances ended one after the other, some 5 s after each
-start, with a division by zero; the jobs of their units had nothing running.
-
-In which order: the workers' entries on the platform's list lapsed while the
-workers lived on. All instances were killed and started. The next owners
-knew the workers by their roster, asked them, and took up what ran there.
-Two seconds later each owner of another unit ended, and after each start
-again.
-
-Cause: a worker known by the roster alone had a room of nothing, where its
-room was not known. What two processors used there were 20,000 tenths of it,
-and one such sample left no doubt that an image disturbs nothing: a variance
-of 2e-11, kept as 0.0, by which each owner that heard of it divided.
-
-Evidence: this order of events with the code that wrote the record ended its
-instances by the same error, at the same place and depth, in virtual time and
-with real processes; where the reader refuses a variance of 0 no instance
-ended, and no owner of the unit could read what its last one had learned.
+"""Workers that an owner knows only from its roster: capacity unknown.
+
+Guards against owners that stop with a division by zero, about 5 s after each
+start, while the jobs of their units have nothing running. The entries of the
+workers expire while the workers go on, and all instances restart. The new
+owners know the workers from the roster only, and an unknown capacity counted
+as zero: two used processors were 20,000 tenths of it. A single such sample
+made the model certain that an image disturbs nothing, with a variance of 2e-11
+that was stored as 0.0, and every owner that read it divided by it.
+
+A reader that rejects a variance of 0 avoids the failure, but then no new owner
+of the unit can read what was learned.
 """
 
 import logbook
@@ -64,17 +56,17 @@
 FILLER = '0000000000000002'
 TARGET_MS = 50
 INSTANCES = ('i0', 'i1', 'i2', 'i3')
-# Above what one unit holds, so that there are two.
+# More than one unit holds, so that there are two units.
 WORKERS = 60
 # What an opportunistic task uses.
 USED_MILLICORES = 2000.0
-# No worker has more tenths of its processors than these in use.
-MOST_TENTHS = 10
+# A worker can't use more than all ten tenths of its processors.
+MAX_TENTHS = 10
 
 
 @pytest.fixture(autouse=True)
 def tails(monkeypatch):
-    """Let tasks with a target be slowed a little by what works beside."""
+    """Slow tasks with a target slightly by opportunistic tasks."""
 
     def get_load(worker, plan):
         return 14.0 if plan.lasts else USED_MILLICORES
@@ -94,7 +86,7 @@
     return make_request(step, run_ms=60_000)
 
 
-async def begin(fleet):
+async def start_jobs(fleet):
     await fleet.submit(SERVING, make_serving(WORKERS, TARGET_MS))
     await fleet.wait_running(WORKERS)
     await fleet.submit(FILLER, make_filler(), PATIENT)
@@ -119,7 +111,7 @@
 
 
 async def read_models(fleet):
-    """Return what is kept of all units, as it stands in the store."""
+    """Return the stored models of all units."""
     found = []
     view = fleet.platform.store.get_view('test')
     for number in (0, 1):
@@ -133,11 +125,11 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_nothing_is_learned_where_the_room_is_not_known(run_virtual, seed):
+def test_nothing_is_learned_at_unknown_capacity(run_virtual, seed):
     async def run():
         with logbook.TestHandler() as handler:
             async with open_fleet(len(INSTANCES), WORKERS, 10) as fleet:
-                await begin(fleet)
+                await start_jobs(fleet)
                 fleet.platform.lapse_entries()
                 await trio.sleep(1)
                 await restart_all(fleet)
@@ -156,28 +148,28 @@
                     for worker in rostered
                     for used in (worker.exposure or {}).values()
                 ]
-                assert max(exposures, default=0) <= MOST_TENTHS
+                assert max(exposures, default=0) <= MAX_TENTHS
                 for record in await read_models(fleet):
                     assert find_fault(record) == ''
                 fleet.check()
-        told = {record.message for record in handler.records}
-        assert 'row unreadable' not in told
-        assert 'unit failed' not in told
+        logged = {record.message for record in handler.records}
+        assert 'row unreadable' not in logged
+        assert 'unit failed' not in logged
 
     run_virtual(run, seed=seed)
 
 
-def test_all_goes_on_once_the_entries_are_back(run_virtual):
+def test_scheduling_continues_once_the_entries_are_back(run_virtual):
     async def run():
         async with open_fleet(len(INSTANCES), WORKERS, 10) as fleet:
-            await begin(fleet)
+            await start_jobs(fleet)
             fleet.platform.lapse_entries()
             await trio.sleep(1)
             await restart_all(fleet)
             await trio.sleep(4)
             fleet.platform.restore_entries()
             await trio.sleep(6)
-            # What served before serves now, and has all the time.
+            # The serving tasks have run all the time.
             assert fleet.count_starts(SERVING) == WORKERS
             models = await read_models(fleet)
             assert [find_fault(record) for record in models] == [''] * len(
@@ -223,8 +215,8 @@
     return state
 
 
-def report(worker, state, times=5):
-    """Let a worker's serving task be learned from; return what is told."""
+def learn_from_report(worker, state, times=5):
+    """Learn repeatedly from a worker's report; return the logged fields."""
     context = Context(state)
     event = WorkerAnswered(state.now_ms, 'w', state.now_ms, WorkerReport(1))
     for _ in range(times):
@@ -243,53 +235,53 @@
     ('capacity', 'samples'),
     [(Resources(16_000, 64_000), 5), (None, 0), (Resources(0, 0), 0)],
 )
-def test_only_a_known_room_is_learned_by(capacity, samples):
+def test_samples_require_a_known_capacity(capacity, samples):
     worker = make_worker(capacity)
     state = make_state(worker)
     add_run(worker, 0, SERVES, 60.0)
     add_run(worker, 1, SERVES, 60.0)
     add_run(worker, 2, FILLS, USED_MILLICORES)
-    report(worker, state)
+    learn_from_report(worker, state)
     assert (state.model.count_samples() > 0) is (samples > 0)
     assert state.swings.swings == {} or samples
 
 
-def test_more_than_a_worker_has_teaches_nothing_and_is_told_once():
+def test_impossible_usage_is_not_learned_and_logged_once():
     worker = make_worker(Resources(1000, 64_000))
     state = make_state(worker)
     add_run(worker, 0, SERVES, 60.0)
     add_run(worker, 1, SERVES, 60.0)
     add_run(worker, 2, FILLS, USED_MILLICORES)
-    told = report(worker, state)
+    logged = learn_from_report(worker, state)
     assert state.model.count_samples() == 0
     assert state.counters['samples_refused'] == 5
-    assert [one['tenths'] for one in told] == [{'batch': 20.0}]
+    assert [one['tenths'] for one in logged] == [{'batch': 20.0}]
 
 
-def test_first_sample_after_an_impossible_one_is_held_against_nothing():
+def test_first_sample_after_an_impossible_one_is_not_learned():
     worker = make_worker(Resources(1000, 64_000))
     state = make_state(worker)
     add_run(worker, 0, SERVES, 60.0)
     add_run(worker, 1, SERVES, 60.0)
     add_run(worker, 2, FILLS, USED_MILLICORES)
-    report(worker, state)
+    learn_from_report(worker, state)
     worker.entry = make_worker(Resources(16_000, 64_000)).entry
-    report(worker, state, times=1)
+    learn_from_report(worker, state, times=1)
     assert state.model.count_samples() == 0
-    report(worker, state, times=1)
+    learn_from_report(worker, state, times=1)
     assert state.model.count_samples() > 0
 
 
-def test_task_takes_no_more_than_all_of_a_worker():
+def test_share_of_a_task_is_at_most_a_whole_worker():
     worker = make_worker(Resources(1000, 64_000))
-    assert _interference.get_share(FILLS, worker) == MOST_TENTHS
+    assert _interference.get_share(FILLS, worker) == MAX_TENTHS
     assert _interference.get_share(FILLS, make_worker(Resources(0, 0))) == (
-        MOST_TENTHS
+        MAX_TENTHS
     )
     assert _interference.get_share(FILLS, make_worker(None)) is None
 
 
-def test_unknown_room_takes_no_work_and_is_told_to_nobody():
+def test_worker_of_unknown_capacity_gets_no_work_and_is_not_published():
     worker = make_worker(None)
     state = make_state(worker)
     add_run(worker, 0, SERVES, 20.0)
@@ -300,12 +292,12 @@
     assert _interference.get_harm(FILLS, worker, state) is None
     assert _interference.find_worst(FILLS, worker, state) is None
     assert _interference.compute_borne_share(FILLS, 1, worker, state) == 0
-    # A tail well below its target shows room for what works beside it.
+    # A tail well below its target has slack for opportunistic tasks.
     assert _interference.get_slack(worker, state)['web'] > 0
     assert not views.show_worker(worker, state)['room_known']
 
 
-def test_tail_that_is_not_told_is_none_of_no_time():
+def test_missing_tail_does_not_count_as_zero():
     worker = make_worker(Resources(16_000, 64_000))
     state = make_state(worker)
     attempt = add_run(worker, 0, SERVES, 60.0)
@@ -318,13 +310,13 @@
     assert attempt.tail_ms == 60.0
 
 
-def test_impossible_tail_of_one_sibling_blames_nobody():
-    """One of no time beside 12 ms made 4.2 a tenth of what did no harm."""
+def test_impossible_tail_of_one_sibling_is_attributed_to_no_image():
+    """A tail of zero beside 12 ms gave a harmless image 4.2 per tenth."""
     worker = make_worker(Resources(16_000, 64_000))
     state = make_state(worker)
     for number, tail_ms in enumerate((12.0, 12.0, 1e-9)):
         add_run(worker, number, SERVES, tail_ms)
     add_run(worker, 3, FILLS, USED_MILLICORES)
-    report(worker, state)
+    learn_from_report(worker, state)
     assert state.model.get_weight('web', 'batch') < 0.5
     assert state.lowest_tails_ms['web'] == 12.0
--- a/tests/tulippin/jobs/test_unknown_rooms_review.py
+++ b/tests/tulippin/jobs/test_unknown_rooms_review.py
@@ -1,4 +1,4 @@
-"""Guards of unknown rooms and of kept tails that no other test needs."""
+"""Further cases of workers of unknown capacity, and of stored idle tails."""
 
 from test_unknown_rooms import (
     FILLS,
@@ -19,8 +19,8 @@
 OTHER = '0000000000000009'
 
 
-def is_unwell(capacity):
-    """Whether a worker is, whose tail is 8 times that of its siblings."""
+def is_unhealthy(capacity):
+    """Whether a worker with a tail of 8 times its siblings' is unhealthy."""
     worker = make_worker(capacity)
     state = make_state(worker)
     slow = add_run(worker, 0, SERVES, 8 * 12.0)
@@ -31,20 +31,20 @@
     return _soundness._is_unwell(worker, Context(state))
 
 
-def test_worker_of_unknown_room_is_not_judged_by_its_tails():
-    """Neighbours may do it: how much they use of it is not known."""
-    assert not is_unwell(KNOWN)
-    assert not is_unwell(None)
+def test_worker_of_unknown_capacity_is_not_judged_by_its_tails():
+    """Other tasks may cause the tails, as their share of it is unknown."""
+    assert not is_unhealthy(KNOWN)
+    assert not is_unhealthy(None)
 
 
-def test_memory_of_an_unknown_room_keeps_no_task_waiting():
+def test_unknown_memory_does_not_limit_a_task():
     worker = make_worker(None)
     state = make_state(worker)
     task = Task(TaskKey(OTHER, 0, 0, 0))
     assert not _choosing.is_limited_by_memory(task, FILLS, state)
 
 
-def test_idle_tail_is_a_part_of_the_target_at_least():
+def test_idle_tail_has_a_lower_limit():
     worker = make_worker(KNOWN)
     state = make_state(worker)
     run = add_run(worker, 0, SERVES, 12.0)
--- a/tests/tulippin/jobs/test_worker_rooms.py
+++ b/tests/tulippin/jobs/test_worker_rooms.py
@@ -1,8 +1,7 @@
-"""Workers whose room shrinks and grows under what runs, and guard none.
+"""Workers that don't enforce their capacity, while it shrinks and grows.
 
-A start that brings such a worker over its room breaks what always holds; what
-is being stopped still counts, and a room that has shrunk counts 3 s and a
-heartbeat later.
+No start may exceed the capacity of such a worker. Runs that are stopping still
+count, and a reduced capacity takes effect 3 s and a heartbeat later.
 """
 
 import msgspec
@@ -26,13 +25,13 @@
 FULL = 16_000
 SMALL = 4000
 TASK = 2000
-SWING_S = 5.0
+CHANGE_INTERVAL_S = 5.0
 
 
-def make_config(*, guards_room, version=2):
+def make_config(*, is_enforcing, version=2):
     body = make_config_body(version)
     services = tuple(
-        msgspec.structs.replace(one, enforces_capacity=guards_room)
+        msgspec.structs.replace(one, enforces_capacity=is_enforcing)
         for one in body.services
     )
     return msgspec.structs.replace(body, services=services)
@@ -46,9 +45,9 @@
         await fleet.submit(f'{number:016x}', request, queue)
 
 
-async def run_swings(fleet, resize=True):
-    """Hand jobs in while every worker's room shrinks and grows again."""
-    fleet.platform.configure(make_config(guards_room=False))
+async def run_capacity_changes(fleet, resize=True):
+    """Submit jobs while the capacity of every worker shrinks and grows."""
+    fleet.platform.configure(make_config(is_enforcing=False))
     for worker in fleet.platform.workers.values():
         worker.stop_ms = 600
     await trio.sleep(0.5)
@@ -56,17 +55,17 @@
         for worker in fleet.platform.workers.values():
             worker.resize(FULL if turn % 2 else SMALL)
         for part in range(5):
-            # Urgent jobs have others stopped: what stops still counts.
+            # Urgent jobs preempt others, and stopping runs still count.
             queue = PATIENT if part % 2 else QUEUE
             await submit_some(fleet, turn * 100 + part * 10, queue=queue)
-            await trio.sleep(SWING_S / 5)
+            await trio.sleep(CHANGE_INTERVAL_S / 5)
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_no_start_brings_a_worker_over_a_room_that_shrinks(run_virtual, seed):
+def test_no_start_exceeds_a_shrinking_capacity(run_virtual, seed):
     async def run():
         async with open_fleet(workers=4) as fleet:
-            await run_swings(fleet)
+            await run_capacity_changes(fleet)
             for turn in range(4):
                 for part in range(5):
                     for number in range(6):
@@ -77,7 +76,7 @@
     run_virtual(run, seed=seed)
 
 
-def find_over_room(run_virtual, play, workers=4):
+def find_overruns(run_virtual, play, workers=4):
     async def run():
         async with open_fleet(workers=workers) as fleet:
             await play(fleet)
@@ -87,10 +86,10 @@
     return [line for line in run_virtual(run) if 'over its room' in line]
 
 
-def test_room_as_it_was_at_first_would_be_overrun(run_virtual, monkeypatch):
+def test_outdated_capacity_would_be_exceeded(run_virtual, monkeypatch):
     note_entry = _workers.note_entry
 
-    def keep_room(entry, read_ms, context):
+    def keep_capacity(entry, read_ms, context):
         known = context.state.workers.get(entry.worker_id)
         room = known.entry.capacity if known else entry.capacity
         changed = WorkerEntry(
@@ -103,11 +102,11 @@
         )
         note_entry(changed, read_ms, context)
 
-    monkeypatch.setattr(_workers, 'note_entry', keep_room)
-    assert find_over_room(run_virtual, run_swings)
+    monkeypatch.setattr(_workers, 'note_entry', keep_capacity)
+    assert find_overruns(run_virtual, run_capacity_changes)
 
 
-def test_room_of_what_stops_would_be_overrun(run_virtual, monkeypatch):
+def test_ignoring_stopping_runs_would_exceed_capacity(run_virtual, monkeypatch):
     has_room = Worker.has_room
 
     def count_running(worker, wanted):
@@ -116,13 +115,15 @@
             for one in worker.attempts.values()
             if one.state.value == 'stopping'
         )
-        left = wanted.cpu_millicores - stopping
-        return has_room(worker, Resources(max(0, left), wanted.memory_mb))
+        remaining_millicores = wanted.cpu_millicores - stopping
+        return has_room(
+            worker, Resources(max(0, remaining_millicores), wanted.memory_mb)
+        )
 
     monkeypatch.setattr(Worker, 'has_room', count_running)
 
     async def play(fleet):
-        fleet.platform.configure(make_config(guards_room=False))
+        fleet.platform.configure(make_config(is_enforcing=False))
         for worker in fleet.platform.workers.values():
             worker.stop_ms = 600
         await trio.sleep(0.5)
@@ -130,12 +131,12 @@
         await trio.sleep(1)
         await submit_some(fleet, 100, 10)
 
-    assert find_over_room(run_virtual, play)
+    assert find_overruns(run_virtual, play)
 
 
-async def run_without_list(fleet):
-    """Shrink the rooms while the store is away, and have work go on."""
-    fleet.platform.configure(make_config(guards_room=False))
+async def run_without_store(fleet):
+    """Reduce capacities while the store is unavailable and work goes on."""
+    fleet.platform.configure(make_config(is_enforcing=False))
     await trio.sleep(0.5)
     await submit_some(fleet, 0, 120)
     await trio.sleep(0.2)
@@ -146,13 +147,13 @@
     fleet.platform.store.trouble.silenced.clear()
 
 
-def test_room_that_is_not_heard_of_gets_nothing_new(run_virtual):
-    assert not find_over_room(run_virtual, run_without_list)
+def test_worker_of_unreported_capacity_gets_no_starts(run_virtual):
+    assert not find_overruns(run_virtual, run_without_store)
 
 
-def test_room_that_is_not_heard_of_would_be_overrun(run_virtual, monkeypatch):
+def test_ignoring_unreported_capacity_would_exceed_it(run_virtual, monkeypatch):
     monkeypatch.setattr(_feasibility, '_is_capacity_confirmed', lambda *_: True)
-    assert find_over_room(run_virtual, run_without_list)
+    assert find_overruns(run_virtual, run_without_store)
 
 
 def make_worker(number, cpu_millicores, reserved):
@@ -170,8 +171,8 @@
     return state
 
 
-def test_shrunk_room_takes_no_places_from_other_workers():
-    """A worker 3.5 cores over its room took four places of one core."""
+def test_reduced_capacity_does_not_count_against_other_workers():
+    """A worker 3.5 cores over its capacity hid four fitting tasks of a core."""
     state = make_state(make_worker(0, 2000, 5500), make_worker(1, 8000, 0))
     assert _rooms.measure(state).places[0] == 8
     assert _headroom.get_unoccupied(state.workers['w0']) == 2000
@@ -179,22 +180,22 @@
     assert state.workers['w0'].has_room(Resources(-4000, 0))
 
 
-def test_strays_close_a_worker_that_guards_no_room():
+def test_orphaned_runs_block_a_worker_that_does_not_enforce_capacity():
     state = make_state(make_worker(0, 8000, 0))
     worker = state.workers['w0']
     worker.entry_ms = state.now_ms
-    state.configuration = _read_configuration(guards_room=False)
+    state.configuration = _read_configuration(is_enforcing=False)
     assert _feasibility.accepts_runs(worker, state)
     worker.strays['task', 1] = 0
     assert not _feasibility.accepts_runs(worker, state)
-    state.configuration = _read_configuration(guards_room=True)
+    state.configuration = _read_configuration(is_enforcing=True)
     assert _feasibility.accepts_runs(worker, state)
 
 
-def _read_configuration(*, guards_room):
+def _read_configuration(*, is_enforcing):
     from tulippin.platform.feeds import decode_configuration
 
-    body = make_config(guards_room=guards_room)
+    body = make_config(is_enforcing=is_enforcing)
     services = tuple(
         msgspec.structs.replace(one, name='s') for one in body.services
     )
