--- a/src/tulippin/jobs/_advising.py
+++ b/src/tulippin/jobs/_advising.py
@@ -1,10 +1,11 @@
-"""Inputs that only advise: they may fail, and the unit goes on.
-
-Models, rooms of other units, tails and swings make decisions better; without
-them the unit decides by its priors. An error that one of them raises costs
-what was learned, and never the unit: it is told with its rows, counted, and
-what may be half changed is forgotten. Epochs, rosters, jobs, progress and
-orders are not among them: an error there ends this life of the unit.
+"""Handles advisory inputs, whose errors must not stop the unit.
+
+Models, capacities of other units, tails and load cycles improve decisions;
+without them the unit decides by its priors. An error in one of them costs the
+learned state, but not the unit: it is reported with the rows that caused it
+and counted, and the learned state, which may be half updated, is reset.
+Epochs, rosters, jobs, progress and orders are not advisory: an error there
+ends this process run of the unit.
 """
 
 from __future__ import annotations
@@ -29,48 +30,51 @@
 
 ADVISING_EVENTS: t.Final = (ModelsSeen, RoomsSeen)
 
-# For how long nothing that advises is taken in after an error, and at most
-# as that is doubled at each further one: the same input comes again with the
-# next report or change.
+# How long advisory inputs are ignored after an error; doubled at each further
+# error up to the maximum, as the same input returns with the next report or
+# change.
 _FIRST_PAUSE_MS: t.Final = 10_000
-_LONGEST_PAUSE_MS: t.Final = 320_000
-# Versions of rows that are remembered as set aside.
-_MOST_ASIDE: t.Final = 200
-# A worker whose room is stale is told about once in so long.
-_REFUSED_EVERY_MS: t.Final = 10_000
+_MAX_PAUSE_MS: t.Final = 320_000
+# Maximum number of rejected row versions to remember.
+_MAX_REJECTED_ROWS: t.Final = 200
+# Minimum interval between log lines on rejected samples of one worker, which
+# occur for as long as its capacity is outdated.
+_REJECTED_LOG_INTERVAL_MS: t.Final = 10_000
 _DIGITS: t.Final = 2
 
 
 @functools.singledispatch
 def hear(event: JobEvent, context: Context) -> None:
-    """Handle an event that only advises."""
+    """Handle an advisory event, unless advisory inputs are paused."""
     if context.state.is_without_advice:
         return
     try:
         handle(event, context)
     except Exception as error:
-        _forget(error, 'advice dropped', event, context)
+        _reset_learning(error, 'advice dropped', event, context)
 
 
 @hear.register
-def _hear_models(event: ModelsSeen, context: Context) -> None:
-    """Hear of what others have learned, but for rows that raise an error."""
+def _handle_models(event: ModelsSeen, context: Context) -> None:
+    """Handle other owners' models, except for rows that raise an error."""
     if context.state.is_without_advice:
         return
-    event = _leave_out(event, context.state.rows_aside)
+    event = _exclude_rows(event, context.state.rows_aside)
     try:
         handle(event, context)
     except Exception as error:
-        failed = _find_failed(event, context.state)
+        failed = _find_failing_rows(event, context.state)
         if not failed:
-            _forget(error, 'advice dropped', event, context)
+            _reset_learning(error, 'advice dropped', event, context)
             return
-        _set_aside(error, failed, context)
-        # Fewer each time: what fails only together is dropped as a whole.
-        hear(_leave_out(event, failed), context)
+        _reject_rows(error, failed, context)
+        # Ends, as there are fewer rows each time. Rows that fail only in
+        # combination are dropped as a whole.
+        hear(_exclude_rows(event, failed), context)
 
 
-def _leave_out(event: ModelsSeen, names: t.Collection[str]) -> ModelsSeen:
+def _exclude_rows(event: ModelsSeen, names: t.Collection[str]) -> ModelsSeen:
+    """Return the event without the named versions of rows."""
     kept = [
         (record, source)
         for record, source in zip(event.models, event.sources, strict=True)
@@ -83,8 +87,8 @@
     )
 
 
-def _find_failed(event: ModelsSeen, state: SchedulerState) -> set[str]:
-    """Return the rows that raise an error by themselves."""
+def _find_failing_rows(event: ModelsSeen, state: SchedulerState) -> set[str]:
+    """Return the names of rows that raise an error on their own."""
     failed = set()
     for record, source in zip(event.models, event.sources, strict=True):
         alone = attrs.evolve(event, models=(record,), sources=(source,))
@@ -95,10 +99,10 @@
     return failed
 
 
-def _set_aside(error: Exception, names: set[str], context: Context) -> None:
-    """Take these versions of rows in no more, and tell which they are."""
+def _reject_rows(error: Exception, names: set[str], context: Context) -> None:
+    """Ignore these versions of rows from now on, and report them."""
     state = context.state
-    if len(state.rows_aside) > _MOST_ASIDE:
+    if len(state.rows_aside) > _MAX_REJECTED_ROWS:
         state.rows_aside.clear()
     state.rows_aside.update(names)
     state.count('advice_dropped')
@@ -106,35 +110,35 @@
 
 
 def restore(event: UnitLoaded, context: Context) -> None:
-    """Begin with what an earlier owner has learned, if that can be."""
+    """Restore an earlier owner's model, unless that raises an error."""
     if event.model is None or context.state.is_without_advice:
         return
     try:
         _memory.restore(event.model, context.state)
     except Exception as error:
-        _forget(error, 'model dropped', event, context)
+        _reset_learning(error, 'model dropped', event, context)
 
 
 def learn(worker: Worker, event: WorkerAnswered, context: Context) -> None:
-    """Learn from a worker's report, unless it is impossible."""
+    """Learn from a worker's report, unless its sample is impossible."""
     if context.state.is_without_advice:
         return
     try:
         exposure = _interference.learn(worker, context.state)
     except Exception as error:
-        _forget(error, 'lesson dropped', event, context)
+        _reset_learning(error, 'lesson dropped', event, context)
         return
     if exposure:
-        _tell_refused(worker, exposure, context)
+        _log_rejected_sample(worker, exposure, context)
 
 
-def _forget(
+def _reset_learning(
     error: Exception, what: str, event: JobEvent, context: Context
 ) -> None:
-    """Forget all that was learned, tell why, and learn nothing for a while."""
+    """Reset the learned state, report the error, and pause learning."""
     state = context.state
     pause_ms = max(2 * state.advice_pause_ms, _FIRST_PAUSE_MS)
-    state.advice_pause_ms = min(pause_ms, _LONGEST_PAUSE_MS)
+    state.advice_pause_ms = min(pause_ms, _MAX_PAUSE_MS)
     state.advice_after_ms = state.now_ms + state.advice_pause_ms
     state.count(what.replace(' ', '_'))
     _memory.forget(state)
@@ -144,15 +148,16 @@
     context.emit(TellFailure(what, error, list_sources(event)))
 
 
-def _tell_refused(
+def _log_rejected_sample(
     worker: Worker, exposure: dict[str, float], context: Context
 ) -> None:
+    """Count a rejected sample, and log it unless one was just logged."""
     state = context.state
     state.count('samples_refused')
-    is_told = worker.refused_ms is not None and (
-        state.now_ms - worker.refused_ms < _REFUSED_EVERY_MS
+    is_logged = worker.refused_ms is not None and (
+        state.now_ms - worker.refused_ms < _REJECTED_LOG_INTERVAL_MS
     )
-    if is_told:
+    if is_logged:
         return
     worker.refused_ms = state.now_ms
     context.log(
--- a/src/tulippin/jobs/_interference.py
+++ b/src/tulippin/jobs/_interference.py
@@ -1,9 +1,11 @@
-"""What opportunistic tasks do to tasks with a latency target beside them.
-
-The load of a long-running job rises and falls for all its tasks alike, so
-a task's tail is held against those of its siblings at the same time: what
-it has above the least disturbed of them is its neighbours' doing. That
-slowdown is credited, by image, to the processors that the neighbours used.
+"""Estimates how opportunistic tasks slow latency-critical tasks beside them.
+
+The load of a long-running job rises and falls for all its tasks alike, so a
+task's tail is compared with those of its siblings at the same time: the
+excess over the least disturbed sibling is attributed to neighbours. The model
+learns that slowdown by image and by the share of processors that each image
+used. From the model follow the slack of each worker, which is the further
+slowdown that its tasks tolerate, and the harm of placing a task there.
 """
 
 from __future__ import annotations
@@ -23,76 +25,76 @@
 )
 from tulippin.jobs.types import Step
 
-# Exposure is counted in tenths of the worker's processors: about what one
-# opportunistic task of the users' sheets uses.
+# Exposure is counted in tenths of the worker's processors: about what a
+# typical opportunistic task uses.
 _TENTHS: t.Final = 10
 _DIGITS: t.Final = 3
 _PERCENT: t.Final = 100
-# Exposure below this teaches nothing.
-_LEAST_EXPOSURE: t.Final = 0.1
-# No more is in use than a worker has, but for rough readings. A larger one
-# is held against a room that is not the worker's any more, and one sample of
-# it would leave no doubt about what it teaches.
-_MOST_EXPOSURE: t.Final = 11.0
-# How much of the exposure, and of a tenth, may have changed between two
-# reports that are taken for a steady state.
+# Exposure below this is too small to learn from.
+_MIN_EXPOSURE: t.Final = 0.1
+# Tasks can't use more processors than their worker has, apart from rounding.
+# A larger exposure stems from an outdated capacity of the worker, and a single
+# such sample would make the model certain of what it learns from it.
+_MAX_EXPOSURE: t.Final = 11.0
+# Maximum change between two reports in a steady state, as a ratio to the
+# exposure and one tenth more.
 _STEADY_RATIO: t.Final = 0.2
-# The most that neighbours of a calm task may add to its slowdown.
-_CALM: t.Final = 0.06
-# The least tail among siblings lies below the undisturbed one by this part
-# of a slowdown: measured where no neighbour ran.
+# Maximum excess that neighbours may cause a task that counts as undisturbed.
+_MAX_CALM_EXCESS: t.Final = 0.06
+# The lowest tail among siblings lies below the typical undisturbed one by
+# this much slowdown, also where no neighbour runs.
 _SIBLING_BIAS: t.Final = 0.04
-# A tail so many times the undisturbed one comes from a queue that still
-# grows: the slowdown is at least what it tells.
-_GROWING_RATIO: t.Final = 3.0
-# The part of a target that a task is to reach with its neighbours.
+# Ratio to the undisturbed tail from which the queue is still growing: the
+# slowdown computed from such a tail is a lower bound.
+_GROWING_QUEUE_RATIO: t.Final = 3.0
+# Share of its target up to which neighbours may raise a task's tail.
 _GOAL_RATIO: t.Final = 0.9
-# By how much the load of a job may rise while an opportunistic task of
-# two seconds runs: half of a swing of 0.45 within seven seconds is 0.13.
-_RISE: t.Final = 0.08
-# Where the swing is known: how long a task started now works, and what the
-# foretold load is off by.
-_AHEAD_MS: t.Final = 1500
-_DOUBT: t.Final = 0.02
-# A slowdown that is no harm at any load: a pair that does not disturb is
+# Rise of a job's load to expect while an opportunistic task of 2 s runs: half
+# of a cycle of 0.45 within 7 s is 0.13.
+_EXPECTED_LOAD_RISE: t.Final = 0.08
+# Where the load cycle is known: how far ahead the load is predicted, which is
+# how long a task started now works, and the error of the prediction.
+_PREDICTION_MS: t.Final = 1500
+_PREDICTION_ERROR: t.Final = 0.02
+# Excess that does no harm at any load: a pair that does not disturb is
 # learned to within 0.02 a tenth.
-HARMLESS: t.Final = 0.035
-# Keeps a share of nearly no slack finite.
-_LEAST_SLACK: t.Final = 0.02
-# What a tail may show above the expected slowdown by chance.
-_CHANCE: t.Final = 0.12
-# What a task with a latency target uses of the processors that it asks for;
-# measured, it swings by half around this. Trials: 0.4 and 0.65 in its place,
-# or the load that the tails tell by now, cost 0.02 to 0.06 of worth.
-_SERVING_USE: t.Final = 0.5
+_NEGLIGIBLE_EXCESS: t.Final = 0.035
+# Keeps ratios to a slack of about 0 finite.
+_MIN_SLACK: t.Final = 0.02
+# Excess over the expected slowdown that a tail may show by chance.
+_CHANCE_EXCESS: t.Final = 0.12
+# Share of its requested processors that a latency-critical task uses; actual
+# use varies by half around it. Values of 0.4 and 0.65, or the load derived
+# from current tails, lower the value of placements by 0.02 to 0.06.
+_SERVING_USE_RATIO: t.Final = 0.5
 
 
 def add_attempt(attempt: Attempt, worker: Worker) -> None:
-    """Count a run to those that disturb, or are disturbed."""
-    place = (attempt.key, attempt.run)
+    """Index a run as latency-critical or opportunistic, if it is either."""
+    run_id = (attempt.key, attempt.run)
     if attempt.step.target_ms:
-        worker.serving[place] = attempt
+        worker.serving[run_id] = attempt
     elif attempt.step.opportunistic:
-        worker.fillers[place] = attempt
+        worker.fillers[run_id] = attempt
     forget_view(worker)
 
 
 def drop_attempt(attempt: Attempt, worker: Worker) -> None:
-    """Take a run out of them."""
-    place = (attempt.key, attempt.run)
-    worker.serving.pop(place, None)
-    worker.fillers.pop(place, None)
+    """Remove a run from the index of its worker."""
+    run_id = (attempt.key, attempt.run)
+    worker.serving.pop(run_id, None)
+    worker.fillers.pop(run_id, None)
     forget_view(worker)
 
 
 def forget_view(worker: Worker) -> None:
-    """Have slack and use worked out anew at their next reading."""
+    """Invalidate a worker's cached slack and use."""
     worker.slack = None
     worker.used_millicores = None
 
 
 def get_used(worker: Worker) -> float:
-    """Return the millicores thought to be in use on a worker."""
+    """Return the estimated millicores in use on a worker."""
     if worker.used_millicores is None:
         worker.used_millicores = sum(
             _get_use(attempt) for attempt in worker.attempts.values()
@@ -101,9 +103,9 @@
 
 
 def get_idle(worker: Worker) -> float:
-    """Return the millicores thought to be idle on a worker.
+    """Return the estimated idle millicores of a worker.
 
-    None are where its room is not known.
+    It is 0 if the worker's capacity is not known.
     """
     if worker.entry.capacity is None:
         return 0.0
@@ -111,38 +113,46 @@
 
 
 def _get_use(attempt: Attempt) -> float:
-    """Return the millicores that a task is thought to use.
+    """Return the estimated millicores that a task uses.
 
-    One that rests for a while counts in full. Counted at its pace, more
-    tasks run at once and all more slowly, as neighbours' targets bear only
-    so much: four days of trial 0.648 to 0.605. One that yields takes what
-    others leave, and counts at its pace.
+    A paused task counts in full. Counted at its pace, more tasks would run at
+    once and all more slowly, since the targets beside them tolerate only a
+    limited slowdown: over four days this yields 0.605 of the possible value
+    instead of 0.648. A slow-started run yields to others and counts at its
+    pace.
     """
     size = attempt.step.size.cpu_millicores
     if attempt.is_slow_start:
         return size * attempt.wanted_percent / _PERCENT
-    return size * _SERVING_USE if attempt.step.target_ms else size
+    return size * _SERVING_USE_RATIO if attempt.step.target_ms else size
 
 
 def get_share(step: Step, worker: Worker) -> float | None:
-    """Return a task's processors in tenths of the worker's, all at most.
+    """Return a task's processors in tenths of the worker's, 10 at most.
 
-    Nothing where the worker's room is not known.
+    Returns
+    -------
+    float, optional
+        None if the worker's capacity is not known.
     """
     capacity = worker.entry.capacity
     if capacity is None:
         return None
     wanted = step.size.cpu_millicores
     if wanted >= capacity.cpu_millicores:
-        # The room has shrunk below what was started there.
+        # The capacity has shrunk below the size of the task.
         return float(_TENTHS) if wanted else 0.0
     return wanted * _TENTHS / capacity.cpu_millicores
 
 
 def get_exposure(worker: Worker) -> dict[str, float] | None:
-    """Return the processors that neighbours use, in tenths, by image.
+    """Return the processors that opportunistic runs use, by image.
 
-    Nothing where some are in use and the worker's room is not known.
+    Returns
+    -------
+    dict of str to float, optional
+        Tenths of the worker's processors; None if some are in use and the
+        worker's capacity is not known.
     """
     used: dict[str, float] = {}
     for attempt in worker.fillers.values():
@@ -164,27 +174,27 @@
 
 
 def learn(worker: Worker, state: SchedulerState) -> dict[str, float] | None:
-    """Take a worker's newest report into the model.
+    """Update the model from a worker's newest report.
 
     Returns
     -------
     dict of str to float, optional
-        The exposure by which the report was refused, as no worker has it.
+        The exposure, if the report was rejected because it is impossible.
     """
     forget_view(worker)
     serving = [one for one in worker.serving.values() if one.load > 0]
     for attempt in serving:
-        _tails.note_sibling(attempt, state)
+        _tails.record_sibling_tail(attempt, state)
     exposure = get_exposure(worker)
-    is_possible = exposure is not None and (
-        sum(exposure.values()) <= _MOST_EXPOSURE
+    is_plausible = exposure is not None and (
+        sum(exposure.values()) <= _MAX_EXPOSURE
     )
-    if not is_possible:
-        # What is told next has nothing to be held against.
+    if not is_plausible:
+        # The next report can't be compared with this one.
         worker.exposure = None
         return exposure
-    _learn_swings(serving, exposure, state)
-    if state.now_ms - worker.exposure_ms >= _tails.SHORTEST_INTERVAL_MS:
+    _learn_load_cycles(serving, exposure, state)
+    if state.now_ms - worker.exposure_ms >= _tails.MIN_READING_INTERVAL_MS:
         past = worker.exposure
         worker.exposure = exposure
         worker.exposure_ms = state.now_ms
@@ -198,7 +208,7 @@
     past: dict[str, float] | None,
     state: SchedulerState,
 ) -> None:
-    """Learn from tails, by what was in use beside them before and now."""
+    """Learn from the tails on a worker, by its past and current exposure."""
     if past is None:
         return
     total = sum(exposure.values())
@@ -206,28 +216,28 @@
     if not is_steady and not _has_grown(exposure, past):
         return
     for attempt in serving:
-        if is_steady and _is_calm(attempt, exposure, state):
-            _tails.learn_part(attempt, state)
-        if total >= _LEAST_EXPOSURE:
+        if is_steady and _is_undisturbed(attempt, exposure, state):
+            _tails.learn_load_factor(attempt, state)
+        if total >= _MIN_EXPOSURE:
             _learn_one(attempt, exposure, state, is_steady=is_steady)
 
 
-def _learn_swings(
+def _learn_load_cycles(
     serving: list[Attempt], exposure: dict[str, float], state: SchedulerState
 ) -> None:
-    """Let the tails of a report tell the loads of their jobs."""
-    known: dict[str, tuple[float, float]] = {}
+    """Learn the load cycles of jobs from the tails of a report."""
+    expected: dict[str, tuple[float, float]] = {}
     for attempt in serving:
         image = attempt.step.image
-        if image not in known:
-            known[image] = _sum_pairs(image, exposure, state)
-        _tails.note_swing(attempt, state, *known[image])
+        if image not in expected:
+            expected[image] = _sum_expected(image, exposure, state)
+        _tails.learn_load_cycle(attempt, state, *expected[image])
 
 
-def _sum_pairs(
+def _sum_expected(
     image: str, exposure: dict[str, float], state: SchedulerState
 ) -> tuple[float, float]:
-    """Return what neighbours add to an image's slowdown, and the doubt."""
+    """Return the excess expected from an image's neighbours, and its spread."""
     expected = 0.0
     variance = 0.0
     for other, used in exposure.items():
@@ -236,22 +246,22 @@
     return expected, math.sqrt(variance)
 
 
-def _is_calm(
+def _is_undisturbed(
     attempt: Attempt, exposure: dict[str, float], state: SchedulerState
 ) -> bool:
-    """Whether all that runs beside a task is known to leave it alone."""
+    """Whether the neighbours of a task are known not to disturb it."""
     image = attempt.step.image
     worst = sum(
         state.model.get_bound(image, other) * used
         for other, used in exposure.items()
     )
-    return worst <= _CALM
+    return worst <= _MAX_CALM_EXCESS
 
 
 def _is_steady(
     exposure: dict[str, float], past: dict[str, float], total: float
 ) -> bool:
-    """Whether a tail has had the time to follow what runs beside it."""
+    """Whether exposure changed little enough for tails to have settled."""
     images = set(exposure) | set(past)
     changed = sum(
         abs(exposure.get(image, 0.0) - past.get(image, 0.0)) for image in images
@@ -260,9 +270,9 @@
 
 
 def _has_grown(exposure: dict[str, float], past: dict[str, float]) -> bool:
-    """Whether no image uses less than before: tails are still to rise."""
+    """Whether no image uses less than before, so that tails can only rise."""
     return all(
-        exposure.get(image, 0.0) >= used - _LEAST_EXPOSURE
+        exposure.get(image, 0.0) >= used - _MIN_EXPOSURE
         for image, used in past.items()
     )
 
@@ -274,15 +284,19 @@
     *,
     is_steady: bool,
 ) -> None:
-    """Learn from one task; before a steady state, only the least there is."""
+    """Learn from one task's tail.
+
+    Outside of a steady state the tail still rises, so the slowdown that it
+    shows counts as a lower bound.
+    """
     undisturbed_ms = _tails.get_undisturbed_ms(attempt, state)
     if undisturbed_ms <= 0 and attempt.tail_ms <= attempt.step.target_ms:
         return
     idle_ms = _tails.get_idle_ms(attempt, state)
     load = _tails.get_load(attempt, state, 0.0)
     alone_ms = _tails.compute_tail_ms(1.0, idle_ms, load)
-    height = math.log(max(1.0, attempt.tail_ms / alone_ms))
-    if _tails.is_own_doing(height, sum(exposure.values())):
+    log_excess = math.log(max(1.0, attempt.tail_ms / alone_ms))
+    if _tails.is_own_doing(log_excess, sum(exposure.values())):
         return
     slowdown = _tails.compute_slowdown(attempt.tail_ms, idle_ms, load)
     image = attempt.step.image
@@ -290,7 +304,8 @@
         image,
         exposure,
         max(0.0, slowdown - 1 - _SIBLING_BIAS),
-        is_bound=not is_steady or attempt.tail_ms > _GROWING_RATIO * alone_ms,
+        is_bound=not is_steady
+        or attempt.tail_ms > _GROWING_QUEUE_RATIO * alone_ms,
     )
     slowdown = round(slowdown, _DIGITS)
     if state.lesson is None or slowdown > state.lesson.slowdown:
@@ -309,16 +324,16 @@
         )
 
 
-# -- expecting ----------------------------------------------------------------
+# -- predictions --------------------------------------------------------------
 
 
 def get_contribution(
     serving_image: str, attempt: Attempt, worker: Worker, state: SchedulerState
 ) -> float:
-    """Return what a neighbour at full pace adds to an image's slowdown.
+    """Return the excess that a run at full pace causes a serving image.
 
-    Where the worker's room is not known nothing is expected, and the tails
-    alone tell.
+    It is 0 if the worker's capacity is not known; its slack then depends on
+    observed tails alone.
     """
     share = get_share(attempt.step, worker)
     if share is None:
@@ -330,9 +345,10 @@
 def get_expected(
     serving_image: str, worker: Worker, state: SchedulerState
 ) -> float:
-    """Return what all neighbours add to an image's slowdown at their pace.
+    """Return the excess that all neighbours cause a serving image.
 
-    But for those that yield: they make room for whatever else is placed.
+    Each run counts at its pace. Slow-started runs are left out: they yield to
+    any other task that is placed.
     """
     return sum(
         get_contribution(serving_image, attempt, worker, state)
@@ -351,26 +367,25 @@
     rise: float,
     ahead_ms: int,
 ) -> float:
-    """Return by what a task may be slowed with its target kept.
+    """Return the excess that a task tolerates with its target met.
 
     Parameters
     ----------
     attempt : Attempt
         A run with a latency target.
     state : SchedulerState
-        Holds the tails.
+        Holds the tails and load cycles.
     expected : float
-        What neighbours are thought to add to its slowdown.
+        Excess expected from neighbours.
     rise : float
-        By how much its load may be higher than it is now; used where the
-        swing of the load is not known.
+        Expected rise of the load; used where the load cycle is not known.
     ahead_ms : int
-        How far the load is looked at ahead, where it is.
+        How far ahead the load is predicted, where the cycle is known.
     """
     idle_ms = _tails.get_idle_ms(attempt, state)
     load = _tails.get_load(attempt, state, expected, ahead_ms)
-    if _tails.foretell(attempt, state) is not None:
-        rise = _DOUBT
+    if _tails.predict_load(attempt, state) is not None:
+        rise = _PREDICTION_ERROR
     goal_ms = _GOAL_RATIO * attempt.step.target_ms
     return max(0.0, 1 / (idle_ms / goal_ms + load + rise) - 1)
 
@@ -378,17 +393,22 @@
 def get_shown(
     attempt: Attempt, state: SchedulerState, expected: float
 ) -> float:
-    """Return by what a task's tail shows it to be slowed, beyond chance."""
+    """Return the excess that a task's tail shows, beyond chance."""
     if attempt.tail_ms <= 0:
         return 0.0
     idle_ms = _tails.get_idle_ms(attempt, state)
     load = _tails.get_load(attempt, state, expected)
     slowdown = _tails.compute_slowdown(attempt.tail_ms, idle_ms, load)
-    return max(0.0, slowdown - 1 - _CHANCE)
+    return max(0.0, slowdown - 1 - _CHANCE_EXCESS)
 
 
 def get_slack(worker: Worker, state: SchedulerState) -> dict[str, float]:
-    """Return by how much more each image there may be slowed."""
+    """Return the slack of each serving image on a worker.
+
+    The slack is the excess that tasks of the image tolerate in addition to
+    the larger of the expected and the observed one; negative if they
+    tolerate less than that.
+    """
     if worker.slack is None:
         images = {one.step.image for one in worker.serving.values()}
         expected = {
@@ -397,16 +417,21 @@
         worker.slack = {}
         for one in worker.serving.values():
             image = one.step.image
-            part = expected[image]
-            used = max(part, get_shown(one, state, part))
-            slack = get_allowance(one, state, part, _RISE, _AHEAD_MS) - used
+            excess = expected[image]
+            used = max(excess, get_shown(one, state, excess))
+            slack = (
+                get_allowance(
+                    one, state, excess, _EXPECTED_LOAD_RISE, _PREDICTION_MS
+                )
+                - used
+            )
             worker.slack[image] = min(worker.slack.get(image, slack), slack)
     return worker.slack
 
 
 @attrs.frozen
 class ExpectedExcess:
-    """What a task would add to the slowdown of the image it hurts most."""
+    """Excess that a task would cause the serving image it harms most."""
 
     image: str
     excess: float
@@ -417,7 +442,13 @@
 def find_worst(
     step: Step, worker: Worker, state: SchedulerState
 ) -> ExpectedExcess | None:
-    """Return what comes closest to the slack there, or goes beyond it."""
+    """Return the expected excess that uses up most of an image's slack.
+
+    Returns
+    -------
+    ExpectedExcess, optional
+        None if the worker's capacity is not known or it serves no image.
+    """
     share = get_share(step, worker)
     if share is None:
         return None
@@ -436,39 +467,45 @@
 def compute_borne_share(
     step: Step, count: int, worker: Worker, state: SchedulerState
 ) -> float:
-    """Return the share of speed at which so many leave targets kept.
+    """Return the pace, from 0 to 1, at which a number of runs is tolerated.
 
-    Only what disturbs has to share: what disturbs nothing works in full.
-    Where the worker's room is not known none is borne.
+    It is 1 for a task that disturbs no image on the worker, and 0 if the
+    worker's capacity is not known.
     """
     share = get_share(step, worker)
     if share is None:
         return 0.0
-    borne = 1.0
+    tolerated = 1.0
     for image, slack in get_slack(worker, state).items():
-        part = state.model.get_bound(image, step.image) * share
-        if part > HARMLESS:
-            borne = min(borne, slack / (part * count))
-    return max(0.0, borne)
+        excess = state.model.get_bound(image, step.image) * share
+        if excess > _NEGLIGIBLE_EXCESS:
+            tolerated = min(tolerated, slack / (excess * count))
+    return max(0.0, tolerated)
 
 
 def get_harm(step: Step, worker: Worker, state: SchedulerState) -> float | None:
-    """Return what an opportunistic task would do beside what runs.
+    """Return the harm of placing an opportunistic task on a worker.
+
+    The harm is the sum, over the serving images there, of the share of slack
+    that the task would use up. The upper bound of each estimate counts, so a
+    pair of which little is known is only tried where the slack suffices for
+    the worse case.
 
-    The least value is 0, for no harm; 1 would use up all slack that some
-    image has. Nothing says that the slack does not suffice. A pair of
-    which little is known is tried only where the tails are low enough to
-    bear the worse case, and none where the worker's room is not known.
+    Returns
+    -------
+    float, optional
+        0 for no harm; None if the slack of some image does not suffice, or
+        the worker's capacity is not known.
     """
     share = get_share(step, worker)
     if share is None:
         return None
     harm = 0.0
     for image, slack in get_slack(worker, state).items():
-        part = state.model.get_bound(image, step.image) * share
-        if part <= HARMLESS:
+        excess = state.model.get_bound(image, step.image) * share
+        if excess <= _NEGLIGIBLE_EXCESS:
             continue
-        if part > slack:
+        if excess > slack:
             return None
-        harm += part / max(slack, _LEAST_SLACK)
+        harm += excess / max(slack, _MIN_SLACK)
     return harm
--- a/src/tulippin/jobs/_memory.py
+++ b/src/tulippin/jobs/_memory.py
@@ -1,8 +1,8 @@
-"""What an owner has learned, kept for the next one.
+"""Persists what an owner has learned, and restores it at the next one.
 
-Without it each change of owner begins with the prior for all pairs of
-images, and pays for them again: an owner learns some 30 pairs in its first
-ten seconds, by slowing tasks with a target.
+Without it each new owner would start with the prior for all pairs of images:
+an owner learns some 30 pairs in its first ten seconds, and slows
+latency-critical tasks to do so.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from tulippin.jobs.swings import SwingModel, Wave
 from tulippin.logs import logger
 
-_EVERY_MS: t.Final = 2000
-_MOST_TOLD: t.Final = 8
+_SAVE_INTERVAL_MS: t.Final = 2000
+_MAX_LOGGED_FAULTS: t.Final = 8
 
 
 def make_record(state: SchedulerState) -> ModelRecord:
-    """Return what is worth keeping.
+    """Return the learned model as a record, without invalid parts.
 
-    Never what its readers would refuse: they would lose the whole of it, or
-    take in what nobody can have learned.
+    A reader would reject invalid parts or the whole record, so they are
+    dropped, counted and logged before the record is written.
     """
     record, faults = drop_faults(
         ModelRecord(
@@ -43,8 +43,8 @@
                 for image, model in state.model.images.items()
             },
             round_all(state.lowest_tails_ms),
-            round_all(_list_known(state.run_times_ms)),
-            _make_swings(state),
+            round_all(_drop_unknown(state.run_times_ms)),
+            _make_cycles(state),
         )
     )
     if faults:
@@ -53,46 +53,50 @@
             'model parts not kept',
             unit=state.config.unit.number,
             parts=len(faults),
-            reasons=faults[:_MOST_TOLD],
+            reasons=faults[:_MAX_LOGGED_FAULTS],
         )
     return record
 
 
-def _list_known(times_ms: t.Mapping[str, float]) -> dict[str, float]:
-    """Return the times without those of 0, which stand for none."""
+def _drop_unknown(times_ms: t.Mapping[str, float]) -> dict[str, float]:
+    """Return the times without those of 0, which are not known."""
     return {name: time_ms for name, time_ms in times_ms.items() if time_ms}
 
 
-def _make_swings(state: SchedulerState) -> SwingRecord:
-    """Return the swings by the time of day: clocks of instances differ."""
-    swings = state.swings
-    angle = swings.get_angle(state.wall_offset_ms)
+def _make_cycles(state: SchedulerState) -> SwingRecord:
+    """Return the load cycles relative to wall-clock time.
+
+    Instances share the wall clock, but not the steady clock that the model
+    uses.
+    """
+    cycles = state.swings
+    angle = cycles.get_angle(state.wall_offset_ms)
     waves = {}
-    for job_id in swings.swings:
-        wave = swings.get_wave(job_id)
+    for job_id in cycles.swings:
+        wave = cycles.get_wave(job_id)
         if wave is not None:
-            turned = attrs.astuple(wave.turn(angle))
-            waves[job_id] = tuple(map(round_figure, turned))
+            rotated = attrs.astuple(wave.rotate(angle))
+            waves[job_id] = tuple(map(round_figure, rotated))
     return SwingRecord(
-        round_figure(swings.period_ms), round_figure(swings.mean), waves
+        round_figure(cycles.period_ms), round_figure(cycles.mean), waves
     )
 
 
-def _restore_swings(record: SwingRecord, state: SchedulerState) -> None:
+def _restore_cycles(record: SwingRecord, state: SchedulerState) -> None:
     if record.period_ms <= 0:
         return
-    swings = state.swings
-    swings.begin(record.period_ms, record.mean, state.now_ms)
-    angle = swings.get_angle(state.wall_offset_ms)
+    cycles = state.swings
+    cycles.adopt_period(record.period_ms, record.mean, state.now_ms)
+    angle = cycles.get_angle(state.wall_offset_ms)
     for job_id, parts in record.waves.items():
-        swings.restore(job_id, Wave(*parts).turn(-angle), state.now_ms)
+        cycles.restore(job_id, Wave(*parts).rotate(-angle), state.now_ms)
 
 
 def _make_pair(model: ImageModel) -> PairRecord:
     images = list(model.means)
     rows = [
-        [model.get_covariance(one, other) for other in images[place:]]
-        for place, one in enumerate(images)
+        [model.get_covariance(one, other) for other in images[index:]]
+        for index, one in enumerate(images)
     ]
     return PairRecord(
         round_all(model.means),
@@ -102,27 +106,27 @@
 
 
 def restore(record: ModelRecord, state: SchedulerState) -> None:
-    """Begin with what an earlier owner has learned."""
+    """Replace the learned state with a persisted model."""
     state.model.images = {
         image: _restore_pair(pair) for image, pair in record.pairs.items()
     }
     state.lowest_tails_ms = dict(record.lowest_tails_ms)
     state.run_times_ms = dict(record.run_times_ms)
-    _restore_swings(record.swings, state)
+    _restore_cycles(record.swings, state)
 
 
 def _restore_pair(pair: PairRecord) -> ImageModel:
     images = list(pair.means)
     covariances = {}
-    for place, row in enumerate(pair.covariances):
-        for other, value in zip(images[place:], row, strict=True):
-            covariances[images[place], other] = value
-            covariances[other, images[place]] = value
+    for index, row in enumerate(pair.covariances):
+        for other, value in zip(images[index:], row, strict=True):
+            covariances[images[index], other] = value
+            covariances[other, images[index]] = value
     return ImageModel(dict(pair.means), covariances, dict(pair.sample_counts))
 
 
 def forget(state: SchedulerState) -> None:
-    """Know nothing but the priors, as an owner that is the first one."""
+    """Reset the learned state to the priors."""
     state.model = PairModel()
     state.swings = SwingModel()
     state.lowest_tails_ms = {}
@@ -131,8 +135,8 @@
 
 
 @handle.register
-def _hear(event: ModelsSeen, context: Context) -> None:
-    """Take in what the owners of other units have learned."""
+def _handle_models(event: ModelsSeen, context: Context) -> None:
+    """Apply the persisted models of other units' owners."""
     state = context.state
     state.model.hear(
         {image: _restore_pair(pair) for image, pair in record.pairs.items()}
@@ -147,11 +151,11 @@
 
 
 def tick(context: Context) -> None:
-    """Keep what is new from time to time."""
+    """Persist the model at intervals if it has new samples."""
     state = context.state
     if state.ownership.phase is not Phase.ACTIVE or state.is_model_committing:
         return
-    if state.now_ms - state.model_kept_ms < _EVERY_MS:
+    if state.now_ms - state.model_kept_ms < _SAVE_INTERVAL_MS:
         return
     state.model_kept_ms = state.now_ms
     samples = state.model.count_samples()
--- a/src/tulippin/jobs/_model_checks.py
+++ b/src/tulippin/jobs/_model_checks.py
@@ -1,8 +1,9 @@
-"""Which parts of a kept model can be what an owner has learned.
+"""Validates persisted models and drops their invalid parts.
 
-A model only advises, so what is wrong in it costs that part alone: an
-image, a queue's time, a job's swing. What passes is divided by, and its
-roots and logarithms are taken, by every owner that hears of it.
+A model is an advisory input, so an invalid part costs only that part: an
+image, a queue's run time, a job's load cycle. All owners that read the model
+divide by its values and take their roots and logarithms, so a single invalid
+value would fail in each of them.
 """
 
 from __future__ import annotations
@@ -16,145 +17,149 @@
 from tulippin.jobs.records import ModelRecord, PairRecord, SwingRecord
 from tulippin.jobs.swings import is_period
 
-# Surprises raise the variance of images that are always seen together, by
-# 0.0025 each; a few such samples then tell two of them far apart.
-_LARGEST_VARIANCE: t.Final = 1e6
-_LARGEST_MEAN: t.Final = 1e6
-# Beyond what a float counts by ones.
-_MOST_SAMPLES: t.Final = 2**53
-# A microsecond: no answer, and no run, takes less.
-_SHORTEST_MS: t.Final = 0.001
-# Some eleven days.
-_LONGEST_MS: t.Final = 1e9
-# A load is 1 at most. A wave fitted to the start of one goes beyond that.
-_LARGEST_LOAD: t.Final = 100.0
-_NAME_SIGNS: t.Final = 60
+# Outliers raise the variance of images that always run together, by 0.0025
+# each, and a few samples that tell two of them apart give large means.
+_MAX_VARIANCE: t.Final = 1e6
+_MAX_MEAN: t.Final = 1e6
+# Largest count up to which floats represent every integer.
+_MAX_SAMPLE_COUNT: t.Final = 2**53
+# A microsecond: no response and no run takes less.
+_MIN_TIME_MS: t.Final = 0.001
+# About eleven days.
+_MAX_TIME_MS: t.Final = 1e9
+# A load is 1 at most, but a wave fitted to the start of a cycle may exceed it.
+_MAX_LOAD: t.Final = 100.0
+_MAX_NAME_LENGTH: t.Final = 60
 
 _Part = t.TypeVar('_Part')
 
 
 def drop_faults(record: ModelRecord) -> tuple[ModelRecord, tuple[str, ...]]:
-    """Return what of a model is sound, and what is wrong with the rest.
+    """Return the valid parts of a model, and what is wrong with the others.
 
     Parameters
     ----------
     record : ModelRecord
-        As it was read, or is about to be written.
+        The model, as read or before it is written.
 
     Returns
     -------
     tuple of ModelRecord and tuple of str
-        The model without its unsound parts, and a reason for each of them.
+        The model without its invalid parts, and a reason for each of them.
     """
     faults: list[str] = []
-    sound = ModelRecord(
-        _keep(record.pairs, find_pair_fault, 'image', faults),
-        _keep(record.lowest_tails_ms, _find_time_fault, 'tail of', faults),
-        _keep(record.run_times_ms, _find_time_fault, 'run time of', faults),
-        _drop_swing_faults(record.swings, faults),
+    valid = ModelRecord(
+        _keep_valid(record.pairs, _find_pair_fault, 'image', faults),
+        _keep_valid(
+            record.lowest_tails_ms, _find_time_fault, 'tail of', faults
+        ),
+        _keep_valid(
+            record.run_times_ms, _find_time_fault, 'run time of', faults
+        ),
+        _drop_cycle_faults(record.swings, faults),
     )
-    return sound, tuple(faults)
+    return valid, tuple(faults)
 
 
-def _keep(
+def _keep_valid(
     parts: t.Mapping[str, _Part],
     find_fault: t.Callable[[_Part], str],
     kind: str,
     faults: list[str],
 ) -> dict[str, _Part]:
-    """Return the parts without a fault, and note the faults of others."""
+    """Return the valid parts, and append the faults of the others."""
     kept = {}
     for name, part in parts.items():
         fault = find_fault(part)
         if fault:
-            faults.append(f'{kind} {name[:_NAME_SIGNS]!r}: {fault}')
+            faults.append(f'{kind} {name[:_MAX_NAME_LENGTH]!r}: {fault}')
         else:
             kept[name] = part
     return kept
 
 
 def _find_time_fault(time_ms: float) -> str:
-    # Nothing compares as true with what is no number.
-    if _SHORTEST_MS <= time_ms <= _LONGEST_MS:
+    # Any comparison with NaN is false.
+    if _MIN_TIME_MS <= time_ms <= _MAX_TIME_MS:
         return ''
-    return f'{time_ms:g} ms is no time'
+    return f'{time_ms:g} ms is out of range'
 
 
 # -- pairs --------------------------------------------------------------------
 
 
-def find_pair_fault(pair: PairRecord) -> str:
-    """Return why nobody can have learned this; an empty text if one can."""
+def _find_pair_fault(pair: PairRecord) -> str:
+    """Return why a pair is invalid; an empty string if it is valid."""
     return (
-        _find_form_fault(pair)
-        or _find_figure_fault(pair)
-        or _find_surety_fault(pair.covariances)
+        _find_shape_fault(pair)
+        or _find_value_fault(pair)
+        or _find_matrix_fault(pair.covariances)
     )
 
 
-def _find_form_fault(pair: PairRecord) -> str:
+def _find_shape_fault(pair: PairRecord) -> str:
     count = len(pair.means)
     lengths = [len(row) for row in pair.covariances]
     if lengths != list(range(count, 0, -1)):
-        return 'its covariances are not those of its means'
+        return 'its covariances do not match its means'
     if not pair.sample_counts.keys() <= pair.means.keys():
-        return 'it counts samples of an image that it has no mean of'
+        return 'it counts samples of an image without a mean'
     return ''
 
 
-def _find_figure_fault(pair: PairRecord) -> str:
+def _find_value_fault(pair: PairRecord) -> str:
     for count in pair.sample_counts.values():
-        if not 0 <= count <= _MOST_SAMPLES:
-            return 'it counts samples as nobody does'
+        if not 0 <= count <= _MAX_SAMPLE_COUNT:
+            return 'a sample count is out of range'
     for mean in pair.means.values():
-        if not abs(mean) <= _LARGEST_MEAN:
-            return f'a mean of {mean:g} is none'
+        if not abs(mean) <= _MAX_MEAN:
+            return f'a mean of {mean:g} is out of range'
     for row in pair.covariances:
         for value in row:
-            if not abs(value) <= _LARGEST_VARIANCE:
-                return f'a covariance of {value:g} is none'
+            if not abs(value) <= _MAX_VARIANCE:
+                return f'a covariance of {value:g} is out of range'
     return ''
 
 
-def _find_surety_fault(covariances: t.Sequence[t.Sequence[float]]) -> str:
-    """Return where a covariance matrix tells more than can be known.
+def _find_matrix_fault(covariances: t.Sequence[t.Sequence[float]]) -> str:
+    """Return why a covariance matrix is too certain; empty if it is not.
 
-    Each pivot of its elimination is the variance of an image if those before
-    it were known. One near 0, or below, would be divided by, or make a
-    sample count as better than none can be.
+    Each pivot of its Gaussian elimination is the variance of an image, given
+    those before it. A pivot near or below 0 would be divided by, or would give
+    a sample more weight than any sample can have.
     """
-    left = [list(row) for row in covariances]
-    for place, row in enumerate(left):
+    remaining = [list(row) for row in covariances]
+    for column, row in enumerate(remaining):
         if row[0] < LEAST_VARIANCE:
-            return f'a variance of {row[0]:g} is more than can be known'
-        for after, value in enumerate(row[1:], 1):
+            return f'a variance of {row[0]:g} is too small'
+        for offset, value in enumerate(row[1:], 1):
             factor = value / row[0]
-            left[place + after] = [
-                known - factor * told
-                for known, told in zip(
-                    left[place + after], row[after:], strict=True
+            remaining[column + offset] = [
+                lower - factor * upper
+                for lower, upper in zip(
+                    remaining[column + offset], row[offset:], strict=True
                 )
             ]
     return ''
 
 
-# -- swings -------------------------------------------------------------------
+# -- load cycles --------------------------------------------------------------
 
 
-def _drop_swing_faults(swings: SwingRecord, faults: list[str]) -> SwingRecord:
+def _drop_cycle_faults(swings: SwingRecord, faults: list[str]) -> SwingRecord:
     if not (is_period(swings.period_ms) and _is_load(swings.mean)):
         faults.append(
-            f'swings: no period of {swings.period_ms:g} ms'
+            f'swings: out-of-range period of {swings.period_ms:g} ms'
             f' around {swings.mean:g}'
         )
         return SwingRecord()
-    waves = _keep(swings.waves, _find_wave_fault, 'swing of', faults)
+    waves = _keep_valid(swings.waves, _find_wave_fault, 'swing of', faults)
     return attrs.evolve(swings, waves=waves)
 
 
 def _find_wave_fault(wave: tuple[float, float, float]) -> str:
-    return '' if all(map(_is_load, wave)) else 'it is no wave of a load'
+    return '' if all(map(_is_load, wave)) else 'its wave is out of range'
 
 
 def _is_load(value: float) -> bool:
-    return math.isfinite(value) and abs(value) <= _LARGEST_LOAD
+    return math.isfinite(value) and abs(value) <= _MAX_LOAD
--- a/src/tulippin/jobs/_refusals.py
+++ b/src/tulippin/jobs/_refusals.py
@@ -1,11 +1,10 @@
-"""Why tasks wait: one line a second for each sort that does.
-
-A line for each refusal would be thousands a second. One line says, for
-each image that waits for idle processors, how many tasks wait and on how
-many workers the smallest of them is refused for which reason, so that idle
-processors beside a backlog are explained from the log. Another one says
-what keeps long-running tasks away that should be at work, and a third why
-tasks that reserve their processors find none.
+"""Logs once a second why tasks wait.
+
+A line for each refused placement would be thousands a second. One line gives,
+for each image that waits for idle processors, how many tasks wait and, for the
+smallest of them, how many workers refuse it for which reason; it explains idle
+processors beside a backlog. Another line gives what holds long-running tasks
+back, and a third why tasks that reserve processors don't fit anywhere.
 """
 
 from __future__ import annotations
@@ -30,45 +29,45 @@
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
 
-_EVERY_MS: t.Final = 1000
-_MOST_NAMED: t.Final = 5
+_LOG_INTERVAL_MS: t.Final = 1000
+_MAX_LOGGED_WORKERS: t.Final = 5
 _FULL_PERCENT: t.Final = 100
-# A task slowed by this misses its target at half of its usual load.
-_TOLD_SLOWDOWN: t.Final = 1.5
-# Keeps a ratio to a slack that is used up finite.
-_LEAST_SLACK: t.Final = 0.02
+# A task with this slowdown misses its target at half of its usual load.
+_MIN_LOGGED_SLOWDOWN: t.Final = 1.5
+# Keeps ratios to a slack of about 0 finite.
+_MIN_SLACK: t.Final = 0.02
 
 
 def tell(context: Context) -> None:
-    """Write the lines if something has waited since the last ones."""
+    """Write the log lines, once a second while any task waits."""
     state = context.state
     is_waiting = bool(state.ready_idle or state.ready or state.unsent)
     if not (context.may_order and is_waiting):
         return
-    if state.now_ms - state.refusals_told_ms < _EVERY_MS:
+    if state.now_ms - state.refusals_told_ms < _LOG_INTERVAL_MS:
         return
     state.refusals_told_ms = state.now_ms
-    _tell_lesson(context)
-    _tell_unsent(context)
-    _tell_lasting(context)
-    _tell_reserving(context)
-    _tell_room(context)
+    _log_observation(context)
+    _log_unsent(context)
+    _log_long_running(context)
+    _log_reserving(context)
+    _log_division(context)
     if state.ready_idle:
-        _tell_idle(context)
+        _log_opportunistic(context)
 
 
-def _tell_lesson(context: Context) -> None:
-    """Tell the reading that showed the largest slowdown since the last."""
-    lesson = context.state.lesson
+def _log_observation(context: Context) -> None:
+    """Log the observation with the largest slowdown since the last line."""
+    observation = context.state.lesson
     context.state.lesson = None
-    if lesson is not None and lesson.slowdown >= _TOLD_SLOWDOWN:
-        context.log('slowdown learned', **attrs.asdict(lesson))
+    if observation is not None and observation.slowdown >= _MIN_LOGGED_SLOWDOWN:
+        context.log('slowdown learned', **attrs.asdict(observation))
 
 
-def _tell_unsent(context: Context) -> None:
-    """Tell which orders have waited for a second to be durable."""
+def _log_unsent(context: Context) -> None:
+    """Log orders that have waited for a second until they are durable."""
     state = context.state
-    limit_ms = state.now_ms - _EVERY_MS
+    limit_ms = state.now_ms - _LOG_INTERVAL_MS
     waiting = [one for one in state.unsent if one.sent_ms <= limit_ms]
     if not waiting:
         return
@@ -82,13 +81,13 @@
     )
 
 
-def _tell_lasting(context: Context) -> None:
-    """Tell why long-running tasks have waited for a second or more."""
+def _log_long_running(context: Context) -> None:
+    """Log why long-running tasks have waited for a second or more."""
     state = context.state
     waiting = list(_iter_late(state))
     if not waiting:
         return
-    unseen = [
+    unconfirmed = [
         task
         for job, task in waiting
         if _unseen.holds_back(job, job.request.steps[task.key.step])
@@ -97,19 +96,19 @@
     oldest = min((task for _, task in waiting), key=lambda task: task.ready_ms)
     context.log(
         'long-running tasks wait',
-        may_run_unseen=len(unseen),
-        no_place=len(waiting) - len(unseen),
+        may_run_unseen=len(unconfirmed),
+        no_place=len(waiting) - len(unconfirmed),
         oldest=oldest.key.format(),
         waited_ms=state.now_ms - oldest.ready_ms,
-        silent_workers=_unseen.list_awaited(state)[:_MOST_NAMED],
+        silent_workers=_unseen.list_awaited(state)[:_MAX_LOGGED_WORKERS],
         awaited_ms=_unseen.get_awaited_ms(state),
     )
 
 
-def _tell_reserving(context: Context) -> None:
-    """Tell why tasks that reserve processors have waited for a second."""
+def _log_reserving(context: Context) -> None:
+    """Log why tasks that reserve processors have waited for a second."""
     state = context.state
-    waiting = list(_iter_late(state, is_lasting=False))
+    waiting = list(_iter_late(state, is_long_running=False))
     if not waiting:
         return
     oldest_job, oldest = min(waiting, key=lambda pair: pair[1].ready_ms)
@@ -127,14 +126,14 @@
         refused=_count_reasons(job, step, task, state),
         waiting_millicores=sum(map(_get_size, waiting)),
         by_lateness=_count_by_lateness(waiting, state),
-        units_with_place=_count_units_with_place(step, state),
+        units_with_place=_count_units_with_capacity(step, state),
     )
 
 
 def _count_by_lateness(
     waiting: list[tuple[Job, Task]], state: SchedulerState
 ) -> dict[str, int]:
-    """Return how many tasks wait of jobs that can be in time, or no more."""
+    """Return how many tasks wait, by whether their job can meet its target."""
     counts = collections.Counter(
         _ranking.get_hope(job, _ready.get_step_key(task.key), state).name
         for job, task in waiting
@@ -142,41 +141,43 @@
     return {name.lower(): count for name, count in counts.items()}
 
 
-def _count_units_with_place(step: Step, state: SchedulerState) -> int:
-    """Return how many other units told of a worker with enough room."""
+def _count_units_with_capacity(step: Step, state: SchedulerState) -> int:
+    """Return how many other units report a worker that fits a task."""
     return sum(
         _rooms.has_place(room, step, is_new=False)
         for room in state.rooms.values()
     )
 
 
-def _tell_room(context: Context) -> None:
-    """Tell how the unit's processors are divided while tasks wait for them."""
+def _log_division(context: Context) -> None:
+    """Log how the unit's processors are divided while tasks wait for them."""
     if context.state.ready:
         report = _headroom.describe(context.state)
         context.log('processors divided', **attrs.asdict(report))
 
 
 def _get_size(pair: tuple[Job, Task]) -> int:
+    """Return the millicores that a task asks for."""
     job, task = pair
     return job.request.steps[task.key.step].size.cpu_millicores
 
 
 def _iter_late(
-    state: SchedulerState, *, is_lasting: bool = True
+    state: SchedulerState, *, is_long_running: bool = True
 ) -> t.Iterator[tuple[Job, Task]]:
-    """Iterate over tasks of a sort that have waited for a second."""
-    limit_ms = state.now_ms - _EVERY_MS
+    """Iterate over long-running or other tasks that have waited a second."""
+    limit_ms = state.now_ms - _LOG_INTERVAL_MS
     for kind, tasks in state.ready.items():
         job = state.jobs[kind[0]]
-        if job.request.steps[kind[2]].long_running is not is_lasting:
+        if job.request.steps[kind[2]].long_running is not is_long_running:
             continue
         for task in tasks.values():
             if task.ready_ms <= limit_ms:
                 yield job, task
 
 
-def _tell_idle(context: Context) -> None:
+def _log_opportunistic(context: Context) -> None:
+    """Log why tasks wait for idle processors, by image."""
     state = context.state
     waiting: dict[str, int] = {}
     smallest: dict[str, tuple[Job, Step, Task]] = {}
@@ -196,7 +197,7 @@
             image: _find_nearest(*found, state)
             for image, found in smallest.items()
         },
-        **_sum_idle_jobs(state),
+        **_summarize_idle_jobs(state),
         refused={
             image: _count_reasons(*found, state)
             for image, found in smallest.items()
@@ -212,10 +213,10 @@
 def _find_nearest(
     job: Job, step: Step, task: Task, state: SchedulerState
 ) -> dict[str, t.Any]:
-    """Return what is expected at the worker that refuses a task the least.
+    """Return the expected excess at the worker that comes closest to fitting.
 
-    With it the log tells whether the expectation is large, or the slack of
-    the tasks beside is small.
+    It shows whether a task is refused because its expected excess is large or
+    because the slack on the workers is small.
     """
     found: list[tuple[float, dict[str, t.Any]]] = []
     for worker in state.workers.values():
@@ -223,20 +224,20 @@
             continue
         worst = _interference.find_worst(step, worker, state)
         if worst is not None:
-            ratio = worst.excess / max(worst.slack, _LEAST_SLACK)
-            told = attrs.asdict(worst) | {'worker': worker.worker_id}
-            found.append((ratio, told))
+            ratio = worst.excess / max(worst.slack, _MIN_SLACK)
+            fields = attrs.asdict(worst) | {'worker': worker.worker_id}
+            found.append((ratio, fields))
     return min(found, key=lambda pair: pair[0])[1] if found else {}
 
 
-def _sum_idle_jobs(state: SchedulerState) -> dict[str, t.Any]:
-    """Return which jobs wait for idle processors with nothing running."""
+def _summarize_idle_jobs(state: SchedulerState) -> dict[str, t.Any]:
+    """Return log fields on jobs that wait without any run."""
     idle_ms: dict[str, int] = {}
     for kind, tasks in state.ready_idle.items():
         job = state.jobs[kind[0]]
         task = next(iter(tasks.values()))
         since_ms = _ready.get_idle_ms(job, task, state)
-        if since_ms >= _EVERY_MS:
+        if since_ms >= _LOG_INTERVAL_MS:
             idle_ms[job.job_id] = max(since_ms, idle_ms.get(job.job_id, 0))
     longest = max(idle_ms, key=idle_ms.__getitem__, default='')
     return {
@@ -247,7 +248,7 @@
 
 
 def _sum_use(state: SchedulerState) -> dict[str, int]:
-    """Return what opportunistic tasks ask for, and are seen to use."""
+    """Return log fields on the requested and used processors of fillers."""
     running = [
         attempt
         for worker in state.workers.values()
@@ -267,6 +268,7 @@
 def _count_reasons(
     job: Job, step: Step, task: Task, state: SchedulerState
 ) -> dict[str, int]:
+    """Return the number of workers by the reason for refusing a task."""
     reasons: collections.Counter[str] = collections.Counter()
     for worker in state.workers.values():
         reasons[_get_reason(worker, job, step, task, state)] += 1
@@ -276,11 +278,11 @@
 def _get_reason(
     worker: Worker, job: Job, step: Step, task: Task, state: SchedulerState
 ) -> str:
-    """Return what keeps a task from a worker."""
+    """Return why a worker refuses a task; `takes_it` if it does not."""
     if not _feasibility.is_open(worker, job, task, step, state):
         return 'closed'
     if not step.opportunistic:
-        return _get_missing_room(worker, step)
+        return _get_missing_resource(worker, step)
     if _interference.get_idle(worker) < step.size.cpu_millicores:
         return 'busy'
     if not _feasibility.is_feasible(worker, job, task, step, state):
@@ -291,8 +293,8 @@
     return 'takes_it'
 
 
-def _get_missing_room(worker: Worker, step: Step) -> str:
-    """Return what a worker has too little of for a task that reserves it."""
+def _get_missing_resource(worker: Worker, step: Step) -> str:
+    """Return the resource that a worker lacks to reserve it for a task."""
     free = worker.free
     if free.cpu_millicores < step.reserved.cpu_millicores:
         return 'processors'
--- a/src/tulippin/jobs/_reports.py
+++ b/src/tulippin/jobs/_reports.py
@@ -1,4 +1,9 @@
-"""What a worker reports: runs that are there, that ended, or are missing."""
+"""Handles workers' reports: running, ended and missing runs.
+
+A report answers a `HoldWorker` call. It lists the runs on the worker and the
+ends that the owner has not acknowledged yet; a run that is missing from it
+is resolved here.
+"""
 
 from __future__ import annotations
 
@@ -18,64 +23,67 @@
 from tulippin.jobs.state import Attempt, AttemptState, Job, Worker
 from tulippin.jobs.types import FINAL_STATES, RunningTask
 
-# Between two holds, if ends that were read are not yet durable: a hold
-# would return at once, with the same ends.
-_UNSETTLED_PAUSE_MS: t.Final = 250
-# A job that a worker knows of comes by the feed so long after a taking at
-# the latest: a feed's call that hangs is given up after 2.4 s.
-_NEWS_MS: t.Final = 3000
+# Pause between two hold calls while ends that were read are not durable:
+# the call would return at once with the same ends.
+_UNACKNOWLEDGED_PAUSE_MS: t.Final = 250
+# Time after a takeover until the feed has delivered every job that a worker
+# may run; a hanging call of the feed times out after 2.4 s.
+_JOB_FEED_DELAY_MS: t.Final = 3000
 
 
 @handle.register
-def _take_report(event: WorkerAnswered, context: Context) -> None:
+def _handle_report(event: WorkerAnswered, context: Context) -> None:
     state = context.state
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
     worker.is_holding = False
-    worker.answered_ms = _get_told_ms(event, context)
+    worker.answered_ms = _get_answered_ms(event, context)
     if worker.failed_count:
         context.log('worker answers again', worker=worker.worker_id)
         _crashes.note_answer(worker, context)
     worker.failed_count = 0
     worker.clock_offset_ms = event.report.clock_ms - state.now_ms
-    _take_ends(worker, event, context)
+    _process_ends(worker, event, context)
     present = set()
     for row in event.report.running:
         present.add((row.key, row.run))
-        _take_running(worker, row, context)
-    for place in worker.strays.keys() - present:
-        del worker.strays[place]
+        _process_running(worker, row, context)
+    for run_id in worker.strays.keys() - present:
+        del worker.strays[run_id]
     _unseen.note_answer(worker, state, is_whole=not worker.early_ends)
     for attempt in list(worker.attempts.values()):
-        # A run whose end waits to be read is over, and how is told there.
+        # A run with a deferred end is over; that end holds its outcome.
         is_early = attempt.key in worker.early_ends
         if not is_early and (attempt.key, attempt.run) not in present:
             _judge_missing(attempt, event, context)
     if worker.ends_read > worker.last_seen or worker.early_ends:
-        worker.hold_after_ms = state.now_ms + _UNSETTLED_PAUSE_MS
+        worker.hold_after_ms = state.now_ms + _UNACKNOWLEDGED_PAUSE_MS
 
 
-def _get_told_ms(event: WorkerAnswered, context: Context) -> int:
-    """Return when a worker told this, or earlier.
+def _get_answered_ms(event: WorkerAnswered, context: Context) -> int:
+    """Return the latest time at which the report is known to be current.
 
-    An answer that came while this instance stood still is as old as its
-    question, for all that is known.
+    If this instance was suspended since the call was sent, the answer may be
+    as old as the call.
     """
     if event.sent_ms < context.state.ownership.paused_ms:
         return event.sent_ms
     return context.state.now_ms
 
 
-def _take_ends(worker: Worker, event: WorkerAnswered, context: Context) -> None:
-    """Take note of ends in their order, up to one that comes too early.
+def _process_ends(
+    worker: Worker, event: WorkerAnswered, context: Context
+) -> None:
+    """Process ends in order, up to the first one of a job not yet received.
 
-    An end is forgotten by its worker once it is acknowledged. One of a job
-    that is not known yet would change nothing here: the job would be run
-    again when it comes.
+    A worker drops an end once it is acknowledged. If the end of a job that
+    has not arrived yet were acknowledged, its outcome would be lost and the
+    task would run again when the job arrives. Such an end and all that
+    follow it are deferred to a later report.
     """
     state = context.state
-    is_new_owner = state.now_ms - state.ownership.taken_ms < _NEWS_MS
+    is_new_owner = state.now_ms - state.ownership.taken_ms < _JOB_FEED_DELAY_MS
     worker.early_ends.clear()
     for ended in event.report.ended:
         if ended.number <= worker.ends_read:
@@ -89,7 +97,11 @@
 
 
 def adopt_strays(job: Job, context: Context) -> None:
-    """Take over runs of a job that were met, or have ended, before it came."""
+    """Adopt runs of a job that were reported before the job was received.
+
+    A running one is adopted and stopped. A task whose end was deferred is
+    marked as possibly running on that worker until the end is read.
+    """
     for worker in context.state.workers.values():
         for key in worker.early_ends:
             if key.job_id == job.job_id and has_task(job.request, key):
@@ -99,17 +111,20 @@
             if key.job_id == job.job_id:
                 del worker.strays[key, run]
                 row = RunningTask(key, run, '', 0, None)
-                attempt = _adopt(worker, row, context)
+                attempt = _adopt_run(worker, row, context)
                 if attempt is not None:
-                    why = 'it was met before its job'
+                    why = 'run was reported before its job'
                     _attempts.stop_attempt(attempt, context, why)
 
 
-def _take_running(worker: Worker, row: RunningTask, context: Context) -> None:
+def _process_running(
+    worker: Worker, row: RunningTask, context: Context
+) -> None:
+    """Update an attempt from its row in a report, or adopt the run."""
     state = context.state
     attempt = worker.attempts.get((row.key, row.run))
     if attempt is None:
-        attempt = _adopt(worker, row, context)
+        attempt = _adopt_run(worker, row, context)
         if attempt is None:
             return
     if attempt.state in {AttemptState.STARTING, AttemptState.DOUBTFUL}:
@@ -123,17 +138,17 @@
             found[1].checkpoint = row.checkpoint
     _crashes.note_running(attempt, context)
     attempt.progress_percent = row.progress_percent
-    _note_load(attempt, row.load, state.now_ms)
-    # A worker that does not tell loads is taken to be at work.
+    _update_load(attempt, row.load, state.now_ms)
+    # A run without a reported load is assumed to make progress.
     if row.load is None or row.load > 0:
         attempt.worked_ms = state.now_ms
 
 
-def _note_load(attempt: Attempt, load: float | None, now_ms: int) -> None:
-    """Take in a run's load; one that was not told is not known any more.
+def _update_load(attempt: Attempt, load: float | None, now_ms: int) -> None:
+    """Store a run's reported load, or reset it if the report has none.
 
-    Nothing is learned from it then. The tail that was known last stands: read
-    as one of no time, it would say that every target is kept.
+    Without a load nothing is learned from the run. Its last tail is kept: a
+    tail of 0 would read as a target that is met.
     """
     if load is not None:
         _tails.note_load(attempt, load, now_ms)
@@ -143,14 +158,23 @@
     attempt.past_load_ms = 0
 
 
-def _adopt(
+def _adopt_run(
     worker: Worker, row: RunningTask, context: Context
 ) -> Attempt | None:
-    """Take over a run that an earlier owner started, or stop it."""
+    """Create an attempt for a run that an earlier owner started.
+
+    The run is stopped if its task is done, its job is over, or another run
+    of the task exists that it may not duplicate.
+
+    Returns
+    -------
+    Attempt, optional
+        None if the job is not known; the run is then stopped as orphaned.
+    """
     state = context.state
     found = _attempts.find_task(row.key, context)
     if found is None:
-        _stop_stray(worker, row, context)
+        _stop_orphaned_run(worker, row, context)
         return None
     job, task = found
     step = job.request.steps[row.key.step]
@@ -172,7 +196,7 @@
     _attempts.add_attempt(attempt, task, worker)
     _ready.remove(row.key, step, state)
     if not is_over:
-        # Its owner may have been lost before it could tell that it had begun.
+        # The earlier owner may have failed before it recorded the start.
         _lifecycle.mark_begun(job, state)
         if step.long_running:
             _lifecycle.mark_dirty(job, state)
@@ -183,22 +207,24 @@
         worker=worker.worker_id,
     )
     if is_over or is_second:
-        why = 'task is over' if is_over else 'another run is there'
+        why = 'task is over' if is_over else 'another run exists'
         _attempts.stop_attempt(attempt, context, why)
     return attempt
 
 
-def _stop_stray(worker: Worker, row: RunningTask, context: Context) -> None:
-    """Have a run of a job that is not known stop, until it has."""
+def _stop_orphaned_run(
+    worker: Worker, row: RunningTask, context: Context
+) -> None:
+    """Stop a run of an unknown job; repeated until the worker drops it."""
     state = context.state
-    place = (row.key, row.run)
+    run_id = (row.key, row.run)
     never_ms = -_attempts.STOP_AGAIN_MS
-    sent_ms = worker.strays.get(place, never_ms)
+    sent_ms = worker.strays.get(run_id, never_ms)
     if state.now_ms - sent_ms < _attempts.STOP_AGAIN_MS:
         return
-    worker.strays[place] = state.now_ms
+    worker.strays[run_id] = state.now_ms
     context.log(
-        'stop stray run',
+        'stop orphaned run',
         task=row.key.format(),
         run=row.run,
         worker=worker.worker_id,
@@ -210,7 +236,12 @@
 def _judge_missing(
     attempt: Attempt, event: WorkerAnswered, context: Context
 ) -> None:
-    """Tell whether a run that the report lacks is over or still to come."""
+    """Release a run that the report lacks, unless it may still start.
+
+    A start order that was not answered may arrive until its deadline by the
+    worker's clock. A report shows a run's end only if it was requested after
+    the run was last seen.
+    """
     clock_ms = event.report.clock_ms
     if attempt.state is AttemptState.STARTING:
         return
@@ -228,7 +259,7 @@
             and attempt.sent_ms < event.sent_ms
         )
         if is_settled:
-            _attempts.release(attempt, context, 'stopped unseen')
+            _attempts.release(attempt, context, 'stopped, no end reported')
         return
     if attempt.seen_ms < event.sent_ms:
-        _attempts.release(attempt, context, 'vanished')
+        _attempts.release(attempt, context, 'missing from report')
--- a/src/tulippin/jobs/_row_checks.py
+++ b/src/tulippin/jobs/_row_checks.py
@@ -1,8 +1,8 @@
-"""What is wrong with a record that has the right form.
+"""Validates the content of records that were decoded from rows.
 
-Another writer's row may have every field of its type and still name steps,
-tasks or units that there are not. Whoever takes such a record in would look
-them up, so that one row would end the work on all.
+A row of another writer may have all fields of its type and still name steps,
+tasks or units that do not exist. Looking them up would raise an error, so that
+one row would stop the work on all others.
 """
 
 from __future__ import annotations
@@ -42,41 +42,42 @@
 _BITS: t.Final = re.compile('[0-9a-f]+')
 _JOB_ID: t.Final = re.compile('[^./]+')
 _HEX: t.Final = 16
-# A job of more would fill an owner's memory before its first task.
+# A job with more tasks would fill an owner's memory before its first one runs.
 MOST_TASKS: t.Final = 1_000_000
-# As of a worker's room: far above any machine, and sums and products of
-# such figures are far below what a float holds.
+# Maximum amount of a resource, also of a worker's capacity: far above any
+# machine, while sums and products of such amounts fit into a float.
 MOST_AMOUNT: t.Final = 10**9
-# Some 30,000 years, which a float adds to a time of day without a loss.
+# About 30,000 years, which a float adds to a time of day without rounding.
 LONGEST_MS: t.Final = 10**15
-# What a float still holds, with some more added to it.
-_MOST_EXACT: t.Final = 10**300
-# Far above what all jobs that one unit can hold ask for.
-_MOST_ASKED: t.Final = 10**30
-_LARGEST_SIZE: t.Final = Resources(MOST_AMOUNT, MOST_AMOUNT, MOST_AMOUNT)
-# Each unit has two tables, of which the platform's store keeps 100.
-_MOST_UNITS: t.Final = 1000
-# An owner's orders last for some seconds.
-_LONGEST_ACCOUNT_MS: t.Final = 60_000
+# Maximum latency target: a float still holds sums with it.
+_MAX_TARGET_MS: t.Final = 10**300
+# Far above what all jobs that fit into one unit ask for.
+_MAX_UNIT_AMOUNT: t.Final = 10**30
+_MAX_SIZE: t.Final = Resources(MOST_AMOUNT, MOST_AMOUNT, MOST_AMOUNT)
+# Each unit has two tables, and the platform's store holds 100 tables.
+_MAX_UNITS: t.Final = 1000
+# Maximum remaining validity of a former owner's orders, usually a few seconds.
+_MAX_ORDER_VALIDITY_MS: t.Final = 60_000
 
 
 def is_job_id(text: str) -> bool:
-    """Whether tasks can be named after a job of this id."""
+    """Whether a text is a job id, without the separators of task names."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 @functools.singledispatch
 def find_fault(record: t.Any) -> str:
-    """Return what makes a record useless; an empty text if nothing does."""
+    """Return why a record is invalid; an empty string if it is valid."""
     return ''
 
 
 @functools.singledispatch
 def drop_faults(record: t.Any) -> tuple[t.Any, tuple[str, ...]]:
-    """Return what of a record may be taken in, and what is wrong with the rest.
+    """Return the valid parts of a record, and the faults of the others.
 
-    Only records that advise have parts that can be left out. Of the others
-    each part tells what may run, or has, and they count as a whole.
+    Only advisory records have parts that can be left out. In all others each
+    part states what runs or has run, so they are valid or invalid as a whole
+    and are returned unchanged.
     """
     return record, ()
 
@@ -99,8 +100,8 @@
         return 'it has too many steps'
     if sum(step.task_count for step in request.steps) > MOST_TASKS:
         return 'it has too many tasks'
-    if not _is_sane_schedule(request.schedule):
-        return 'it is due at no time'
+    if not _is_valid_schedule(request.schedule):
+        return 'its schedule is out of range'
     faults = (
         _find_step_fault(number, step)
         for number, step in enumerate(request.steps)
@@ -108,7 +109,7 @@
     return next(filter(None, faults), '')
 
 
-def _is_sane_schedule(schedule: Schedule) -> bool:
+def _is_valid_schedule(schedule: Schedule) -> bool:
     times_ms = (schedule.first_at_ms, schedule.interval_ms)
     return all(abs(time_ms) <= LONGEST_MS for time_ms in times_ms)
 
@@ -117,23 +118,23 @@
     if not 0 < step.task_count <= MOST_TASKS:
         return f'step {number} has {step.task_count} tasks'
     if any(not 0 <= one < number for one in step.after):
-        return f'step {number} waits for one that is no earlier one'
-    if _is_negative(step):
-        return f'step {number} asks for less than nothing'
-    if _is_huge(step):
+        return f'step {number} depends on a step that is not an earlier one'
+    if _has_negative_amount(step):
+        return f'step {number} asks for a negative amount'
+    if _has_excessive_amount(step):
         return f'step {number} asks for more than there can be'
     return ''
 
 
-def _is_negative(step: Step) -> bool:
+def _has_negative_amount(step: Step) -> bool:
     is_short = min(step.estimated_ms, step.target_ms) < 0
     return is_short or not step.size.fits(Resources())
 
 
-def _is_huge(step: Step) -> bool:
-    """Whether what is worked out of a step may leave what a float holds."""
+def _has_excessive_amount(step: Step) -> bool:
+    """Whether values computed from a step may exceed the range of floats."""
     is_long = max(step.estimated_ms, step.target_ms) > LONGEST_MS
-    return is_long or not _LARGEST_SIZE.fits(step.size)
+    return is_long or not _MAX_SIZE.fits(step.size)
 
 
 def has_task(request: JobRequest, key: TaskKey) -> bool:
@@ -146,11 +147,11 @@
 
 
 def _find_name_fault(names: t.Iterable[str], request: JobRequest) -> str:
-    """Return which of some tasks, as ``K.STEP.INDEX``, there is not."""
+    """Return a fault if one of the ``K.STEP.INDEX`` names is no task."""
     for name in names:
         is_name = _TASK_NAME.fullmatch(name) is not None
         if not is_name or not has_task(request, parse_task(f'-.{name}')):
-            return f'it names task {name!r}'
+            return f'it names unknown task {name!r}'
     return ''
 
 
@@ -162,20 +163,20 @@
 
 
 def _find_queue_fault(queue: Queue) -> str:
-    """Return what of a queue can't be worked with, as due times are."""
-    if abs(queue.target_latency_ms) > _MOST_EXACT:
-        return 'its queue has no target'
+    """Return a fault if due times can't be computed from a queue's target."""
+    if abs(queue.target_latency_ms) > _MAX_TARGET_MS:
+        return 'the latency target of its queue is out of range'
     return ''
 
 
 @find_fault.register
-def _check_guest(record: GuestRecord) -> str:
+def _check_transferred_job(record: GuestRecord) -> str:
     fault = _find_queue_fault(record.queue)
     fault = fault or _find_request_fault(record.request)
     if not fault and min(record.passes.values(), default=1) < 1:
-        fault = 'a pass has no number'
+        fault = 'the number of a transfer is below 1'
     if not fault and min(record.runs.values(), default=0) < 0:
-        fault = 'a run is below none'
+        fault = 'the number of a run is negative'
     return fault or _find_name_fault(
         [*record.passes, *record.runs, *record.begun, *record.crashes],
         record.request,
@@ -183,19 +184,19 @@
 
 
 def find_progress_fault(record: ProgressRecord, request: JobRequest) -> str:
-    """Return what of a job's progress is none of this job's."""
+    """Return why a progress record does not match its job; empty if it does."""
     for name, bits in (*record.done.items(), *(record.begun or {}).items()):
         if not _STEP_NAME.fullmatch(name) or not _BITS.fullmatch(bits):
-            return f'it names step {name!r}'
+            return f'malformed entry for step {name!r}'
         key = parse_task(f'-.{name}.0')
         if not has_task(request, key):
-            return f'it names step {name!r}'
+            return f'it names unknown step {name!r}'
         if int(bits, _HEX) >> request.steps[key.step].task_count:
-            return f'it tells of more tasks of step {name} than it has'
+            return f'it lists more tasks of step {name} than there are'
     if any(min(passed) < 0 for passed in record.passed.values()):
-        return 'a task is passed to no unit'
+        return 'the target unit of a transfer is negative'
     if record.doubts < 0:
-        return 'it counts below none'
+        return 'its count of doubts is negative'
     names = (
         *record.failures,
         *record.avoided,
@@ -210,18 +211,22 @@
 # -- units --------------------------------------------------------------------
 
 
-def _are_units(numbers: t.Iterable[int]) -> bool:
-    return all(0 <= number < _MOST_UNITS for number in numbers)
+def _are_unit_numbers(numbers: t.Iterable[int]) -> bool:
+    return all(0 <= number < _MAX_UNITS for number in numbers)
 
 
 @find_fault.register
 def _check_home(record: HomeRecord) -> str:
-    return '' if _are_units(record.units) else 'it names no unit'
+    return '' if _are_unit_numbers(record.units) else 'invalid unit number'
 
 
 @find_fault.register
 def _check_layout(record: LayoutRecord) -> str:
-    return '' if _are_units(record.racks.values()) else 'it names no unit'
+    return (
+        ''
+        if _are_unit_numbers(record.racks.values())
+        else 'invalid unit number'
+    )
 
 
 @find_fault.register
@@ -232,17 +237,17 @@
         *record.waiting.values(),
     )
     if min(counts) < 0:
-        return 'it counts below none'
-    return _find_room_fault(record.room)
+        return 'one of its counts is negative'
+    return _find_capacity_fault(record.room)
 
 
-def _find_room_fault(room: UnitRoom) -> str:
-    """Return what of a unit's room is none.
+def _find_capacity_fault(room: UnitRoom) -> str:
+    """Return what is invalid in a unit's reported capacity.
 
-    Shares of it are compared with those of other units: one that is less
-    than nothing would draw all tasks, and one without end ends who divides.
+    Shares of it are compared with those of other units: a negative one would
+    attract all tasks, and an infinite one would raise an error in a division.
     """
-    sums = (
+    amounts = (
         room.capacity_millicores,
         room.reserved_millicores,
         room.idle_millicores,
@@ -250,41 +255,43 @@
         *room.service_millicores.values(),
         *room.places,
         *(room.short_places or ()),
-        *_list_figures(room),
+        *_iter_demand_figures(room),
     )
-    if not all(0 <= value <= _MOST_ASKED for value in sums):
-        return 'its room is none'
+    if not all(0 <= value <= _MAX_UNIT_AMOUNT for value in amounts):
+        return 'its capacity is out of range'
     if max(len(room.places), len(room.short_places or ())) > len(PLACE_SIZES):
-        return 'it tells places of no size'
-    # What is left where more is reserved than there is lies below nothing.
-    left = (*attrs.astuple(room.largest_free), room.largest_new_millicores)
-    if any(abs(value or 0) > _MOST_ASKED for value in left):
-        return 'what is free of its room is none'
+        return 'it has more fit counts than there are task sizes'
+    # Free capacity is negative where more is reserved than exists.
+    free = (*attrs.astuple(room.largest_free), room.largest_new_millicores)
+    if any(abs(value or 0) > _MAX_UNIT_AMOUNT for value in free):
+        return 'its free capacity is out of range'
     return ''
 
 
-def _list_figures(room: UnitRoom) -> t.Iterator[float]:
+def _iter_demand_figures(room: UnitRoom) -> t.Iterator[float]:
     for one in room.demands:
         yield from (one.mean_millicores, one.variance, one.count)
         yield from (one.squares, one.cubes, one.memory)
 
 
 @find_fault.register
-def _check_account(record: AccountRecord) -> str:
-    for worker_id, told in record.workers.items():
-        if not 0 <= told.lasting_ms <= _LONGEST_ACCOUNT_MS:
-            return f'orders to {worker_id} last {told.lasting_ms} ms'
-        if not _names_tasks(told):
-            return f'it names no tasks on {worker_id}'
+def _check_release_report(record: AccountRecord) -> str:
+    for worker_id, account in record.workers.items():
+        if not 0 <= account.lasting_ms <= _MAX_ORDER_VALIDITY_MS:
+            return (
+                f'orders to {worker_id} are valid for {account.lasting_ms} ms'
+            )
+        if not _has_task_names(account):
+            return f'malformed task name on {worker_id}'
     return ''
 
 
-def _names_tasks(told: WorkerAccount) -> bool:
-    return all(map(is_task_name, told.tasks or ()))
+def _has_task_names(account: WorkerAccount) -> bool:
+    return all(map(is_task_name, account.tasks or ()))
 
 
 def is_task_name(name: str) -> bool:
-    """Whether some job could have a task of this whole name."""
+    """Whether a text has the form of a full task name, with its job id."""
     job_id, _, rest = name.partition('.')
     return is_job_id(job_id) and _TASK_NAME.fullmatch(rest) is not None
 
--- a/src/tulippin/jobs/_sources.py
+++ b/src/tulippin/jobs/_sources.py
@@ -1,7 +1,7 @@
-"""Where an event's content came from, for the log and for what is set aside.
+"""Names the rows and workers that an event was read from.
 
-An error that an event raises is of use to operators only with the rows or
-workers that told what was at work.
+Errors are reported with these names, so that operators find the row or worker
+that caused them, and rows that raise errors are rejected by them.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from tulippin.jobs.ports import StoredRow
 from tulippin.jobs.records import EPOCH_KEY, LEASE_KEY
 
-# A loading tells of some hundred rows.
-_MOST_NAMES: t.Final = 40
+# A `UnitLoaded` event is read from a hundred rows or more.
+_MAX_NAMES: t.Final = 40
 
 
 def name_row(row: StoredRow) -> str:
@@ -32,15 +32,15 @@
 
 
 def _name_rows(rows: t.Sequence[StoredRow]) -> tuple[str, ...]:
-    return tuple(name_row(row) for row in rows[:_MOST_NAMES])
+    return tuple(name_row(row) for row in rows[:_MAX_NAMES])
 
 
 @functools.singledispatch
 def list_sources(event: JobEvent) -> tuple[str, ...]:
-    """Return the names of what an event was made of, as far as any is known.
+    """Return the names of the rows or workers that an event was read from.
 
-    Rows are named by table, part, key and version, workers by their ids. Of
-    many the first ones are named.
+    Rows are named by table, part, key and version, workers by their ids. Only
+    the first ones of many are returned, and none for other events.
     """
     return ()
 
@@ -48,7 +48,7 @@
 @list_sources.register
 def _list_loaded(event: UnitLoaded) -> tuple[str, ...]:
     rows = (*event.sources, *_name_rows(event.jobs))
-    return (*rows, *_name_rows(event.progress))[:_MOST_NAMES]
+    return (*rows, *_name_rows(event.progress))[:_MAX_NAMES]
 
 
 @list_sources.register
@@ -58,7 +58,7 @@
 
 @list_sources.register
 def _list_models(event: ModelsSeen) -> tuple[str, ...]:
-    return event.sources[:_MOST_NAMES]
+    return event.sources[:_MAX_NAMES]
 
 
 @list_sources.register
@@ -77,4 +77,4 @@
 @list_sources.register
 def _list_workers(event: WorkersChanged) -> tuple[str, ...]:
     names = (*(entry.worker_id for entry in event.changed), *event.gone)
-    return tuple(f'worker {name}' for name in names[:_MOST_NAMES])
+    return tuple(f'worker {name}' for name in names[:_MAX_NAMES])
--- a/src/tulippin/jobs/_tails.py
+++ b/src/tulippin/jobs/_tails.py
@@ -1,12 +1,12 @@
-"""Tails of tasks with a latency target, and what they tell.
-
-A task answers its own users one after the other, so its tail grows with
-its load as in a queue: ``idle / (1 - load)``. Neighbours that slow it
-down by a factor work twice, on the time of each answer and on the queue:
-``idle * slowdown / (1 - load * slowdown)``. The same neighbours therefore
-do little at the ebb of a job's load and ruin its tails at the flood,
-while the slowdown itself stays the same. So slowdowns are what is learned
-and added up, and tails are turned into them and back.
+"""Converts the tail latency of tasks to load and slowdown, and back.
+
+A task serves its requests one after the other, so its tail latency grows
+with its load as in a queue: ``idle / (1 - load)``. Neighbours that slow it
+down by a factor act twice, on the service time of each request and on the
+queue: ``idle * slowdown / (1 - load * slowdown)``. The same neighbours
+therefore add little to the tail while the load of the job is low and ruin it
+while the load is high, although the slowdown is the same. So the model learns
+and adds up slowdowns, and this module converts tails to slowdowns and back.
 """
 
 from __future__ import annotations
@@ -15,88 +15,90 @@
 
 from tulippin.jobs.state import Attempt, SchedulerState
 
-# A tail that is told goes half of the way to a new one in this time;
-# measured: 242, 134, 80, 54, 40, 34 ms after neighbours were stopped.
-_SMOOTHING_MS: t.Final = 250
-# A tail that is told has come within a fifteenth of the true one.
-_SETTLED_MS: t.Final = 1000
-# Readings closer together than this tell nothing of the change between.
-SHORTEST_INTERVAL_MS: t.Final = 280
-_LEAST_TAIL_MS: t.Final = 1.0
-# Siblings' tails are compared while they are no older than this; a report
-# covers half a second, and calm workers report once a second.
-_SIBLING_AGE_MS: t.Final = 1300
-# The undisturbed tail is that of the best of at least so many.
-_LEAST_SIBLINGS: t.Final = 2
-# The tail at no load as a part of the target, until a lower one is seen:
-# 10 of 50 ms and 25 of 125 ms on the users' sites.
+# Half-life of the smoothing of reported tails: a tail falls as 242, 134, 80,
+# 54, 40, 34 ms after neighbours stop.
+_SMOOTHING_HALF_LIFE_MS: t.Final = 250
+# Time until a reported tail is within 1/15 of the true one.
+_SETTLING_MS: t.Final = 1000
+# Two readings closer together than this show no change between them.
+MIN_READING_INTERVAL_MS: t.Final = 280
+_MIN_TAIL_MS: t.Final = 1.0
+# Maximum age of siblings' tails that are compared; a report covers half a
+# second, and workers without load report once a second.
+_MAX_SIBLING_AGE_MS: t.Final = 1300
+# Minimum number of siblings whose lowest tail counts as undisturbed.
+_MIN_SIBLINGS: t.Final = 2
+# Ratio of the tail without load to the target, until a lower tail is seen:
+# 10 of 50 ms and 25 of 125 ms in practice.
 _IDLE_RATIO: t.Final = 0.2
-# The least of that which is believed of a lower one.
-_LEAST_IDLE_RATIO: t.Final = 0.1
-# The most of its target that a tail reaches alone; measured 43 of 50 ms.
-_ALONE_RATIO: t.Final = 0.87
-# A job's tasks share its load unevenly. How fast a task's part is learned,
-# what the job's load must be for it to show, and the most that it may be.
-_PART_STEP: t.Final = 0.3
-_LEAST_JOB_LOAD: t.Final = 0.15
-_MOST_PART: t.Final = 2.0
-_LEAST_PART: t.Final = 0.6
-# A tail made out from two readings is that of the time between, and the
-# report covers half a second.
+# Minimum share of that estimate down to which a lower tail is credible.
+_MIN_IDLE_SHARE: t.Final = 0.1
+# Maximum ratio of tail to target of a task without neighbours: 43 of 50 ms.
+_MAX_ALONE_RATIO: t.Final = 0.87
+# A job's tasks share its load unevenly: learning rate of a task's factor,
+# minimum load of the job at which it shows, and bounds of the factor.
+_LOAD_FACTOR_RATE: t.Final = 0.3
+_MIN_JOB_LOAD: t.Final = 0.15
+_MAX_LOAD_FACTOR: t.Final = 2.0
+_MIN_LOAD_FACTOR: t.Final = 0.6
+# Age of a tail derived from two readings: it is the tail of the time between
+# them, and each reading covers half a second.
 _TAIL_AGE_MS: t.Final = 200
-# How far apart the load is looked at ahead: a tenth of its shortest swing.
-_LOOK_MS: t.Final = 500
-# Slowdown by neighbours, or doubt about it, at which a tail tells half as
-# much of the load as that of a task alone.
-_BLUR: t.Final = 0.08
-# A load above the foretold one by this is taken for a disturbance, and
-# counts this part.
-_UNEXPLAINED: t.Final = 0.1
-_UNEXPLAINED_PART: t.Final = 0.15
-# From this weight on a tail tells the task's own part of the load, which
-# is learned by this step.
-_CLEAR_WEIGHT: t.Final = 0.5
-_SWING_STEP: t.Final = 0.1
-
-# The most that one tenth of a worker's processors in neighbours adds to
-# the logarithm of a tail, and what is left to chance. The heaviest pair
-# measured adds 0.78 on a whole day, but a worker that stands still shows
-# tails a thousand times too long: the bound need not be tight.
-_WORST_WEIGHT: t.Final = 2.5
-_CHANCE: t.Final = 1.5
+# Step at which a predicted load is sampled: less than a tenth of the
+# shortest load cycle.
+_PREDICTION_STEP_MS: t.Final = 500
+# Slowdown by neighbours, or uncertainty about it, at which a tail counts half
+# as much for the load as the tail of a task without neighbours.
+_HALF_WEIGHT_SLOWDOWN: t.Final = 0.08
+# A load above the predicted one by this much is attributed to a disturbance,
+# and its weight is reduced by this factor.
+_UNEXPLAINED_LOAD: t.Final = 0.1
+_UNEXPLAINED_WEIGHT: t.Final = 0.15
+# Weight above which a tail updates the task's own factor of the load cycle,
+# and the learning rate of that factor.
+_MIN_FACTOR_WEIGHT: t.Final = 0.5
+_CYCLE_FACTOR_RATE: t.Final = 0.1
+
+# Maximum that each tenth of a worker's processors used by neighbours adds to
+# the logarithm of a tail, and an allowance for chance. The heaviest pair adds
+# 0.78 over a whole day, but a suspended worker shows tails a thousand times
+# too long, so the bound need not be tight.
+_MAX_LOG_EXCESS_PER_TENTH: t.Final = 2.5
+_CHANCE_LOG_EXCESS: t.Final = 1.5
 
 
 def note_load(attempt: Attempt, load: float, now_ms: int) -> None:
-    """Take in a run's load as its worker tells it.
+    """Store a run's reported load and derive its current tail.
 
-    Of tasks with a target the load is a smoothed tail; two readings tell
-    the tail by now.
+    For tasks with a latency target the reported load is a smoothed tail; two
+    readings give the tail between them, without the smoothing.
     """
     attempt.load = load
     if not attempt.step.target_ms:
         return
     interval_ms = now_ms - attempt.past_load_ms
     if attempt.past_load > 0 and load > 0:
-        if interval_ms < SHORTEST_INTERVAL_MS:
+        if interval_ms < MIN_READING_INTERVAL_MS:
             return
-        kept = 0.5 ** (interval_ms / _SMOOTHING_MS)
+        kept = 0.5 ** (interval_ms / _SMOOTHING_HALF_LIFE_MS)
         load = (load - kept * attempt.past_load) / (1 - kept)
-    attempt.tail_ms = max(load, _LEAST_TAIL_MS)
+    attempt.tail_ms = max(load, _MIN_TAIL_MS)
     attempt.past_load = attempt.load
     attempt.past_load_ms = now_ms
 
 
-def note_sibling(attempt: Attempt, state: SchedulerState) -> None:
-    """Let a job's other tasks be held against this one's tail.
+def record_sibling_tail(attempt: Attempt, state: SchedulerState) -> None:
+    """Record a task's tail, for comparison with other tasks of its job.
 
-    Not while it has just started: its tail begins with that of no load.
-    One such sibling made a slowdown of 61 of what was 1.3, and with it
-    expectations 4 to 20 times too high for the rest of a day.
+    A run that has just started is left out, since its smoothed tail begins
+    at that of an idle task. With one such sibling a slowdown of 1.3 was
+    estimated as 61, and the expected slowdowns were 4 to 20 times too high
+    for the rest of a day.
     """
-    if state.now_ms - attempt.seen_ms < _SETTLED_MS:
+    if state.now_ms - attempt.seen_ms < _SETTLING_MS:
         return
-    if attempt.load < _get_least_idle_ms(attempt):
-        # One impossible tail would make heavy neighbours of all its siblings'.
+    if attempt.load < _get_min_idle_ms(attempt):
+        # An impossibly low tail would make all siblings look disturbed.
         return
     tails = state.tails.setdefault(attempt.key.job_id, {})
     tails[attempt.key] = (attempt.load, state.now_ms)
@@ -106,91 +108,104 @@
 
 
 def get_undisturbed_ms(attempt: Attempt, state: SchedulerState) -> float:
-    """Return the least tail of the job's tasks; 0 if too few are known."""
-    since_ms = state.now_ms - _SIBLING_AGE_MS
+    """Return the lowest tail of the job's tasks; 0 if too few are known."""
+    since_ms = state.now_ms - _MAX_SIBLING_AGE_MS
     tails = state.tails.get(attempt.key.job_id, {})
     fresh = [tail for tail, at_ms in tails.values() if at_ms >= since_ms]
-    if len(fresh) < _LEAST_SIBLINGS:
+    if len(fresh) < _MIN_SIBLINGS:
         return 0.0
     return min(fresh)
 
 
 def get_idle_ms(attempt: Attempt, state: SchedulerState) -> float:
-    """Return the tail that the task would have alone and without load.
+    """Return the tail of the task without load and without neighbours.
 
-    It is above nothing, whatever was kept as the lowest one: loads and
-    slowdowns are told by how many times a tail is this.
+    It is above 0 whatever the lowest recorded tail is, because loads and
+    slowdowns are ratios to it.
     """
     idle_ms = _IDLE_RATIO * attempt.step.target_ms
     lowest_ms = state.lowest_tails_ms.get(attempt.step.image, idle_ms)
-    return min(idle_ms, max(lowest_ms, _get_least_idle_ms(attempt)))
+    return min(idle_ms, max(lowest_ms, _get_min_idle_ms(attempt)))
 
 
-def _get_least_idle_ms(attempt: Attempt) -> float:
-    """Return the least tail that is believed of a task."""
-    return _LEAST_IDLE_RATIO * _IDLE_RATIO * attempt.step.target_ms
+def _get_min_idle_ms(attempt: Attempt) -> float:
+    """Return the lowest credible tail of a task."""
+    return _MIN_IDLE_SHARE * _IDLE_RATIO * attempt.step.target_ms
 
 
-def learn_part(attempt: Attempt, state: SchedulerState) -> None:
-    """Learn a task's part in its job's load while nothing disturbs it."""
+def learn_load_factor(attempt: Attempt, state: SchedulerState) -> None:
+    """Update the ratio of a task's load to that of its least loaded sibling.
+
+    Called only while the neighbours of the task do not disturb it.
+    """
     alone_ms = get_undisturbed_ms(attempt, state)
     idle_ms = get_idle_ms(attempt, state)
     job_load = 1 - idle_ms / max(alone_ms, idle_ms)
-    if job_load < _LEAST_JOB_LOAD:
+    if job_load < _MIN_JOB_LOAD:
         return
     own_load = 1 - idle_ms / max(attempt.tail_ms, idle_ms)
-    part = min(max(own_load / job_load, 1.0), _MOST_PART)
-    attempt.load_part += _PART_STEP * (part - attempt.load_part)
+    factor = min(max(own_load / job_load, 1.0), _MAX_LOAD_FACTOR)
+    attempt.load_part += _LOAD_FACTOR_RATE * (factor - attempt.load_part)
 
 
-def note_swing(
+def learn_load_cycle(
     attempt: Attempt, state: SchedulerState, expected: float, spread: float
 ) -> None:
-    """Let a task's tail tell the load of its job.
+    """Learn the load cycle of a job from the tail of one of its tasks.
 
     Parameters
     ----------
     attempt : Attempt
-        The task's run, with a new tail.
+        The task's run; ignored unless its tail is new.
     state : SchedulerState
-        Holds the swings.
+        Holds the load cycles.
     expected, spread : float
-        What its neighbours are thought to add to its slowdown, and by how
-        much that may be wrong: the less, the more the tail tells.
+        Expected excess caused by its neighbours, and the spread of that
+        estimate. The smaller both are, the more the tail counts.
     """
     if attempt.tail_ms <= 0 or attempt.past_load_ms != state.now_ms:
         return
     at_ms = state.now_ms - _TAIL_AGE_MS
     idle_ms = get_idle_ms(attempt, state)
     own_load = 1 / (1 + expected) - idle_ms / max(attempt.tail_ms, idle_ms)
-    blur = (expected / 2 + spread) / _BLUR
-    weight = 1 / (1 + blur * blur)
-    told = state.swings.foretell(attempt.key.job_id, at_ms)
-    if told is not None and told > _LEAST_JOB_LOAD:
-        excess = own_load - told * attempt.swing_part
-        if excess > _UNEXPLAINED:
-            # Something disturbs it that is not known yet.
-            weight *= _UNEXPLAINED_PART
-        elif weight > _CLEAR_WEIGHT:
-            part = min(max(own_load / told, _LEAST_PART), _MOST_PART)
-            attempt.swing_part += _SWING_STEP * (part - attempt.swing_part)
+    uncertainty = (expected / 2 + spread) / _HALF_WEIGHT_SLOWDOWN
+    weight = 1 / (1 + uncertainty * uncertainty)
+    predicted = state.swings.predict_load(attempt.key.job_id, at_ms)
+    if predicted is not None and predicted > _MIN_JOB_LOAD:
+        excess = own_load - predicted * attempt.swing_part
+        if excess > _UNEXPLAINED_LOAD:
+            # An unknown disturbance slows the task.
+            weight *= _UNEXPLAINED_WEIGHT
+        elif weight > _MIN_FACTOR_WEIGHT:
+            factor = min(
+                max(own_load / predicted, _MIN_LOAD_FACTOR), _MAX_LOAD_FACTOR
+            )
+            attempt.swing_part += _CYCLE_FACTOR_RATE * (
+                factor - attempt.swing_part
+            )
     load = own_load / attempt.swing_part
     state.swings.learn(attempt.key.job_id, at_ms, load, weight)
 
 
-def foretell(
+def predict_load(
     attempt: Attempt, state: SchedulerState, ahead_ms: int = 0
 ) -> float | None:
-    """Return the most load that a task will have until then, if known."""
-    most = 0.0
-    for later_ms in range(0, ahead_ms + 1, _LOOK_MS):
-        told = state.swings.foretell(
+    """Return the highest load predicted for a task within a time.
+
+    Returns
+    -------
+    float, optional
+        None if the load cycle of the job is not known.
+    """
+    highest = 0.0
+    for later_ms in range(0, ahead_ms + 1, _PREDICTION_STEP_MS):
+        predicted = state.swings.predict_load(
             attempt.key.job_id, state.now_ms + later_ms
         )
-        if told is None:
+        if predicted is None:
             return None
-        most = max(most, told)
-    return most * attempt.swing_part
+        highest = max(highest, predicted)
+    return highest * attempt.swing_part
 
 
 def get_load(
@@ -199,25 +214,26 @@
     expected: float,
     ahead_ms: int = 0,
 ) -> float:
-    """Return the load of a task, as it would be alone, from 0 to 1.
+    """Return the load of a task without neighbours, from 0 to 1.
 
     Parameters
     ----------
     attempt : Attempt
         The task's run.
     state : SchedulerState
-        Holds the tails of its siblings.
+        Holds the tails of its siblings and the load cycles.
     expected : float
-        What its neighbours are thought to add to its slowdown; used where
-        no sibling shows the undisturbed tail.
+        Excess expected from its neighbours; used if there are too few
+        siblings to know the undisturbed tail.
     ahead_ms : int
-        The most until then is returned, where the job's swing is known.
+        Where the load cycle of the job is known, the highest load predicted
+        within this time is returned.
     """
     idle_ms = get_idle_ms(attempt, state)
-    most = 1 - idle_ms / (_ALONE_RATIO * attempt.step.target_ms)
-    told = foretell(attempt, state, ahead_ms)
-    if told is not None:
-        return min(max(told, 0.0), most)
+    max_load = 1 - idle_ms / (_MAX_ALONE_RATIO * attempt.step.target_ms)
+    predicted = predict_load(attempt, state, ahead_ms)
+    if predicted is not None:
+        return min(max(predicted, 0.0), max_load)
     alone_ms = get_undisturbed_ms(attempt, state)
     if alone_ms > 0:
         load = 1 - idle_ms / max(alone_ms, idle_ms)
@@ -227,30 +243,36 @@
         load = 1 / slowdown - idle_ms / max(attempt.tail_ms, idle_ms)
     else:
         load = 0.0
-    return min(max(load, 0.0), most)
+    return min(max(load, 0.0), max_load)
 
 
 def is_own_doing(excess: float, exposure: float) -> bool:
-    """Whether a tail's excess is the worker's own: neighbours do less.
+    """Whether a tail is longer than neighbours can make it.
+
+    Such a tail is caused by the worker itself, for example while it is
+    suspended.
 
     Parameters
     ----------
     excess : float
-        Logarithm of the tail over the undisturbed one.
+        Logarithm of the ratio of the tail to the undisturbed tail.
     exposure : float
         Tenths of the worker's processors that neighbours use.
     """
-    return excess > _WORST_WEIGHT * exposure + _CHANCE
+    return excess > _MAX_LOG_EXCESS_PER_TENTH * exposure + _CHANCE_LOG_EXCESS
 
 
 def compute_slowdown(tail_ms: float, idle_ms: float, load: float) -> float:
-    """Return by what factor neighbours slow a task with such a tail."""
+    """Return the factor by which neighbours slow a task with this tail."""
     return max(1.0, 1 / (load + idle_ms / max(tail_ms, idle_ms)))
 
 
 def compute_tail_ms(slowdown: float, idle_ms: float, load: float) -> float:
-    """Return the tail of a task under a load and a slowdown."""
-    left = 1 - load * slowdown
-    if left <= 0:
+    """Return the tail of a task at a load and a slowdown.
+
+    It is infinite where the slowed task can't keep up with its load.
+    """
+    unused_share = 1 - load * slowdown
+    if unused_share <= 0:
         return float('inf')
-    return idle_ms * slowdown / left
+    return idle_ms * slowdown / unused_share
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -1,4 +1,9 @@
-"""The unit's workers: their leases, answers to orders, and their loss."""
+"""Tracks the unit's workers: list entries, leases, orders and loss.
+
+Applies changes of the platform's worker list, renews the leases under which
+workers run tasks, handles answers to start and stop orders, and releases the
+runs of workers whose lease expired or whose incarnation ended.
+"""
 
 from __future__ import annotations
 
@@ -24,24 +29,25 @@
 from tulippin.jobs.state import AttemptState, SchedulerState, Worker
 from tulippin.jobs.types import StartOutcome, WorkerEntry
 
-# How long a hold waits at the worker for an end: with nothing special,
-# where tasks share processors (the tail is looked at), and where an
-# order's fate is open.
-_CALM_WAIT_MS: t.Final = 1000
-_SHARED_WAIT_MS: t.Final = 400
-_OPEN_WAIT_MS: t.Final = 150
-_OPEN_STATES: t.Final = frozenset(
+# How long a hold call waits at the worker for the end of a run: by default,
+# where opportunistic tasks share processors with tasks that have a latency
+# target (the tails are checked), and while the outcome of an order is open.
+_DEFAULT_HOLD_WAIT_MS: t.Final = 1000
+_SHARED_HOLD_WAIT_MS: t.Final = 400
+_PENDING_HOLD_WAIT_MS: t.Final = 150
+_PENDING_STATES: t.Final = frozenset(
     (AttemptState.DOUBTFUL, AttemptState.STOPPING)
 )
-# Between two tries at a silent worker.
-_SILENT_PAUSE_MS: t.Final = 250
-# A worker that refused for want of room is left alone so long.
-_NO_ROOM_PAUSE_MS: t.Final = 300
-_UNHEALTHY_PAUSE_MS: t.Final = 1000
+# Pause between two calls to a worker that does not answer.
+_SILENT_RETRY_PAUSE_MS: t.Final = 250
+# Pause before new starts on a worker that refused one: for lack of capacity,
+# or for any other reason.
+_NO_CAPACITY_PAUSE_MS: t.Final = 300
+_REFUSED_START_PAUSE_MS: t.Final = 1000
 
 
 @handle.register
-def _change_workers(event: WorkersChanged, context: Context) -> None:
+def _handle_worker_list(event: WorkersChanged, context: Context) -> None:
     for entry in event.changed:
         note_entry(entry, event.read_ms, context)
     for worker_id in event.gone:
@@ -52,16 +58,16 @@
 
 
 def note_entry(entry: WorkerEntry, read_ms: int, context: Context) -> None:
-    """Take in a worker's entry on the platform's list.
+    """Apply a worker's entry on the platform's list.
 
     Parameters
     ----------
     entry : WorkerEntry
-        The entry.
+        The entry, of a worker that is known or new.
     read_ms : int
-        When its reading began.
+        When the read that returned the entry began.
     context : Context
-        Takes what is decided.
+        Collects effects and log lines.
     """
     state = context.state
     worker = state.workers.get(entry.worker_id)
@@ -74,29 +80,31 @@
             service=entry.service,
         )
     if worker.is_over:
-        # An entry stays for three heartbeats after its worker's end.
+        # The list keeps an entry for three heartbeats after the worker ends.
         return
     if worker.is_rostered and worker.entry.address != entry.address:
-        _refuse_move(worker, entry, context)
+        _reject_address_change(worker, entry, context)
         return
     if entry.draining:
-        _note_drain(worker, entry, context)
+        _update_drain_deadline(worker, entry, context)
     if entry.capacity != worker.entry.capacity:
-        _note_room(worker, entry, context)
+        _update_capacity(worker, entry, context)
     worker.entry = entry
     worker.entry_ms = read_ms
     worker.is_listed = True
 
 
-def _note_room(worker: Worker, entry: WorkerEntry, context: Context) -> None:
-    """Note that a worker has another room: less may fit, or more.
+def _update_capacity(
+    worker: Worker, entry: WorkerEntry, context: Context
+) -> None:
+    """Apply a changed capacity and schedule a new placement round.
 
-    What runs there goes on, also where it takes more than that by now.
+    Runs on the worker continue even if they exceed the new capacity.
     """
     _interference.forget_view(worker)
     context.state.is_placing_due = True
     context.log(
-        'worker room changed',
+        'worker capacity changed',
         worker=entry.worker_id,
         cpu_millicores=_get_millicores(entry),
         memory_mb=entry.capacity.memory_mb if entry.capacity else None,
@@ -109,26 +117,31 @@
     return entry.capacity.cpu_millicores if entry.capacity else None
 
 
-def _refuse_move(worker: Worker, entry: WorkerEntry, context: Context) -> None:
-    """Pass over an entry by which a worker's life has moved.
+def _reject_address_change(
+    worker: Worker, entry: WorkerEntry, context: Context
+) -> None:
+    """Ignore an entry that gives a rostered worker another address.
 
-    An id stands for one life, at one address. Whatever answers at another
-    one would say that this life is over, and what it runs would be started
-    beside itself. If it is the known address that is wrong, the worker is
-    forgotten once nothing can run there, and then listed anew.
+    A worker id names one incarnation at one address. A process that answers
+    at another address would report that this incarnation is over, and its
+    tasks would be started a second time while they run. If the stored
+    address is the wrong one, the worker is forgotten once nothing can run
+    there, and then listed again.
     """
     if worker.is_listed:
         worker.is_listed = False
         context.log(
-            'worker at another address',
+            'worker entry ignored: address differs',
             worker=entry.worker_id,
             address=entry.address,
             known=worker.entry.address,
         )
 
 
-def _note_drain(worker: Worker, entry: WorkerEntry, context: Context) -> None:
-    """Note when a worker leaves: no later than any of its entries says."""
+def _update_drain_deadline(
+    worker: Worker, entry: WorkerEntry, context: Context
+) -> None:
+    """Store when a draining worker leaves: the earliest announced time."""
     leaves_at_ms = context.state.now_ms + entry.leaves_in_ms
     if worker.leaves_at_ms:
         worker.leaves_at_ms = min(worker.leaves_at_ms, leaves_at_ms)
@@ -145,12 +158,15 @@
 
 
 def get_clock_ms(worker: Worker, state: SchedulerState) -> int:
-    """Return the worker's clock by now, or less."""
+    """Return a lower bound of the worker's current clock."""
     return state.now_ms + (worker.clock_offset_ms or 0)
 
 
 def hold_all(context: Context) -> None:
-    """Ask every worker whose turn it is."""
+    """Send a hold call to every worker that is due for one.
+
+    A hold call renews the worker's lease and returns its next report.
+    """
     if not context.may_order:
         return
     for worker in context.state.workers.values():
@@ -158,6 +174,7 @@
 
 
 def _hold_if_due(worker: Worker, context: Context) -> None:
+    """Send a hold call, unless one is open or none is needed."""
     state = context.state
     if worker.is_holding or state.now_ms < worker.hold_after_ms:
         return
@@ -170,12 +187,14 @@
     ):
         return
     deadline_ms = None
-    # A probe of a silent worker must not prolong what it runs.
-    is_heard = worker.clock_offset_ms is not None and not worker.failed_count
-    if is_heard and _ownership.may_prolong(state):
-        lasting_ms = state.config.worker_lease_ms
-        deadline_ms = get_clock_ms(worker, state) + lasting_ms
-        _unseen.extend_lapse(worker, lasting_ms, state)
+    # A probe of a worker that does not answer must not renew its lease.
+    is_answering = (
+        worker.clock_offset_ms is not None and not worker.failed_count
+    )
+    if is_answering and _ownership.may_prolong(state):
+        lease_ms = state.config.worker_lease_ms
+        deadline_ms = get_clock_ms(worker, state) + lease_ms
+        _unseen.extend_lapse(worker, lease_ms, state)
     worker.is_holding = True
     worker.needs_ack = False
     context.emit(
@@ -191,7 +210,7 @@
 
 
 def _is_hold_needed(worker: Worker) -> bool:
-    """Whether anything runs there, or is to be learned or told."""
+    """Whether the worker has runs, an unknown state or ends to acknowledge."""
     is_unknown = not worker.is_reconciled or worker.failed_count > 0
     has_ends = worker.ends_read > worker.last_seen or worker.needs_ack
     has_runs = bool(worker.attempts or worker.strays)
@@ -199,22 +218,24 @@
 
 
 def _choose_wait_ms(worker: Worker) -> int:
+    """Return how long a hold call may wait at the worker for an end."""
     if not worker.is_reconciled or worker.failed_count:
         return 0
     if worker.strays or _trials.has_trials(worker):
-        return _OPEN_WAIT_MS
+        return _PENDING_HOLD_WAIT_MS
     for attempt in worker.attempts.values():
-        if attempt.state in _OPEN_STATES:
-            return _OPEN_WAIT_MS
+        if attempt.state in _PENDING_STATES:
+            return _PENDING_HOLD_WAIT_MS
     is_shared = worker.serving and worker.fillers
-    return _SHARED_WAIT_MS if is_shared else _CALM_WAIT_MS
+    return _SHARED_HOLD_WAIT_MS if is_shared else _DEFAULT_HOLD_WAIT_MS
 
 
-# -- silence ----------------------------------------------------------------
+# -- unanswered calls ---------------------------------------------------------
 
 
 @handle.register
-def _note_silence(event: WorkerSilent, context: Context) -> None:
+def _handle_silence(event: WorkerSilent, context: Context) -> None:
+    """Handle a hold call that failed, was fenced or met a new incarnation."""
     state = context.state
     worker = state.workers.get(event.worker_id)
     if worker is None:
@@ -224,10 +245,10 @@
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
     if event.is_replaced:
-        _end_life(worker, context)
+        _end_incarnation(worker, context)
         return
     worker.failed_count += 1
-    worker.hold_after_ms = state.now_ms + _SILENT_PAUSE_MS
+    worker.hold_after_ms = state.now_ms + _SILENT_RETRY_PAUSE_MS
     if worker.failed_count == 1:
         state.count('workers_silent')
         context.log(
@@ -236,26 +257,28 @@
         _crashes.note_silence(worker, context)
 
 
-def _end_life(worker: Worker, context: Context) -> None:
-    """Take a worker's life as over: another one was met at its address.
+def _end_incarnation(worker: Worker, context: Context) -> None:
+    """Mark a worker's incarnation as over and release its runs.
 
-    Nothing is asked of it any more. One that had been silent before was asked
-    again at once after each answer until its last lease was over, 1,770 times
-    a second for three of them, which took all of an owner's processor.
+    Called when another incarnation answers at its address. The worker gets
+    no further calls: one that had not answered before would be called again
+    right after each answer until its last lease expired, 1,770 times a
+    second for three workers, which saturates the owner's processor.
     """
     if worker.is_over:
         return
     _crashes.note_end_of_life(worker, context)
-    _lose(worker, context, 'its worker has a new life')
+    _release_runs(worker, context, 'its worker has a new incarnation')
     worker.is_over = True
     worker.is_listed = False
     worker.is_reconciled = True
 
 
-def _lose(worker: Worker, context: Context, why: str) -> None:
+def _release_runs(worker: Worker, context: Context, why: str) -> None:
+    """Release all runs of a worker that is lost."""
     for attempt in list(worker.attempts.values()):
         if attempt.is_ordered and attempt.step.long_running:
-            # It may have been there though no answer told of it.
+            # It may have run even if no answer has confirmed it.
             _attempts.note_running(attempt, context)
         _attempts.release(attempt, context, why)
 
@@ -264,7 +287,7 @@
 
 
 @handle.register
-def _take_start(event: StartAnswered, context: Context) -> None:
+def _handle_start_answer(event: StartAnswered, context: Context) -> None:
     state = context.state
     worker = state.workers.get(event.worker_id)
     if worker is None:
@@ -294,16 +317,16 @@
         )
         return
     if outcome is StartOutcome.NO_ROOM:
-        worker.paused_until_ms = state.now_ms + _NO_ROOM_PAUSE_MS
+        worker.paused_until_ms = state.now_ms + _NO_CAPACITY_PAUSE_MS
     elif outcome is not StartOutcome.OTHER_LIFE:
-        worker.paused_until_ms = state.now_ms + _UNHEALTHY_PAUSE_MS
+        worker.paused_until_ms = state.now_ms + _REFUSED_START_PAUSE_MS
     _attempts.release(attempt, context, f'start refused: {outcome.value}')
     if outcome is StartOutcome.OTHER_LIFE:
-        _end_life(worker, context)
+        _end_incarnation(worker, context)
 
 
 @handle.register
-def _take_stop(event: StopAnswered, context: Context) -> None:
+def _handle_stop_answer(event: StopAnswered, context: Context) -> None:
     state = context.state
     worker = state.workers.get(event.worker_id)
     if worker is None:
@@ -321,13 +344,13 @@
 
 
 def tick(context: Context) -> None:
-    """Give up what lapsed; repeat stops; forget workers that are gone."""
+    """Release runs with an expired lease, repeat stops, drop lost workers."""
     if not context.may_order:
         return
     state = context.state
     for worker in list(state.workers.values()):
         if worker.failed_count and state.now_ms > worker.lapse_at_ms:
-            _lose(worker, context, 'its lease lapsed')
+            _release_runs(worker, context, 'its lease expired')
         _attempts.stop_again(worker, context)
         if _is_forgettable(worker, state):
             if worker.is_rostered and not worker.is_reconciled:
@@ -338,6 +361,7 @@
 
 
 def _is_forgettable(worker: Worker, state: SchedulerState) -> bool:
+    """Whether a worker is off the list and nothing can run on it."""
     return not (
         worker.is_listed
         or worker.attempts
--- a/src/tulippin/jobs/layout.py
+++ b/src/tulippin/jobs/layout.py
@@ -1,8 +1,9 @@
-"""Which workers make a unit: whole racks, near each other.
+"""Divides workers into units of whole racks, by failure domain.
 
-One instance owns a unit and decides all that happens on its workers, so a
-unit is as large as the smallest instance can carry, and as few units as
-that allows are made: tasks find room more easily in a larger one.
+One instance owns a unit and makes all decisions for its workers, so a unit is
+limited to what the smallest instance can handle. Within that limit there are
+as few units as possible, because tasks find free capacity more easily in a
+larger one.
 """
 
 from __future__ import annotations
@@ -14,33 +15,33 @@
 from tulippin.jobs.records import LayoutRecord
 from tulippin.jobs.types import WorkerEntry
 
-# Up to so many workers stay one unit: an owner on one core spends 0.4 of
-# it on 33 workers with 95 starts a second.
+# Maximum number of workers that form a single unit: an owner uses 0.4 of a
+# core for 33 workers with 95 starts a second.
 SINGLE_UNIT_WORKERS: t.Final = 44
-# Workers of one unit where there are several. An owner spends 0.08 of a core
-# on the decisions for so many, 0.14 for 50, at 100 and 140 starts a second
-# (`bench/unit_load.py`), and the larger a unit, the more rarely a task waits
-# beside room that another unit has.
+# Target size of a unit where there are several. An owner uses 0.08 of a core
+# for the decisions on this many workers with 100 starts a second, and 0.14 on
+# 50 workers with 140 starts a second (`bench/unit_load.py`). The larger a unit,
+# the more rarely a task waits while another unit has free capacity.
 UNIT_WORKERS: t.Final = 37
-# No unit is made larger, unless one rack is: half a core is what most
-# instances have.
-MOST_UNIT_WORKERS: t.Final = 50
-# What a unit's distance from ``UNIT_WORKERS`` counts beside the units'
-# unevenness: whole racks of 20 in a failure domain of 75 are better two
-# units of 35 and 40 than three of 15, 20 and 40.
+# Maximum size of a unit of several racks: most instances have half a core.
+MAX_UNIT_WORKERS: t.Final = 50
+# Weight of the deviation from ``UNIT_WORKERS`` relative to the unevenness of
+# the units: for racks of 20 in a failure domain of 75 workers, two units of 35
+# and 40 are better than three of 15, 20 and 40.
 _SIZE_WEIGHT: t.Final = 0.5
 
 
 def get_rack(entry: WorkerEntry) -> str:
-    """Return what a worker is kept together with."""
+    """Return a worker's rack, or its failure domain if it names no rack."""
     return entry.rack or entry.failure_domain
 
 
 def make_layout(entries: t.Iterable[WorkerEntry]) -> LayoutRecord:
-    """Return the first layout for the workers that are listed.
+    """Return the initial layout for the listed workers.
 
-    Several units are made failure domain by failure domain, each of about
-    ``UNIT_WORKERS`` and as even as whole racks allow.
+    Up to ``SINGLE_UNIT_WORKERS`` form one unit. Otherwise each failure domain
+    is divided into units of about ``UNIT_WORKERS``, as even as whole racks
+    allow.
     """
     workers = list(entries)
     sizes = collections.Counter(get_rack(entry) for entry in workers)
@@ -50,10 +51,10 @@
     racks = {}
     first = 0
     for _, members in _group_by_domain(workers):
-        # Largest first: what is left fills up the smaller units.
+        # Largest first, so that small racks even out the units.
         own = sorted(
             {get_rack(entry) for entry in members} - set(racks),
-            key=_make_order(sizes),
+            key=_make_rack_key(sizes),
         )
         units = _divide(own, sizes)
         for number, unit in enumerate(units, first):
@@ -65,20 +66,21 @@
 def _divide(racks: list[str], sizes: t.Mapping[str, int]) -> list[list[str]]:
     """Return a failure domain's racks, divided into units.
 
-    Every number of units is tried: which one is even depends on how the
-    racks' sizes add up. A job finds less room in the smaller of two uneven
-    units, and its owner has less to do than the other's.
+    Divisions into each possible number of units are compared, since it
+    depends on the sizes of the racks which one is even. Of two uneven units,
+    jobs find less free capacity in the smaller one, and the owner of the
+    larger one has more work.
     """
-    tried = [
+    divisions = [
         _fill_units(racks, sizes, count) for count in range(1, len(racks) + 1)
     ]
-    return min(tried, key=lambda units: _rate(units, sizes), default=[])
+    return min(divisions, key=lambda units: _get_cost(units, sizes), default=[])
 
 
 def _fill_units(
     racks: list[str], sizes: t.Mapping[str, int], count: int
 ) -> list[list[str]]:
-    """Divide racks into a number of units, each rack into the smallest."""
+    """Divide racks into units, assigning each rack to the smallest unit."""
     units: list[list[str]] = [[] for _ in range(count)]
     counts = [0 for _ in units]
     for rack in racks:
@@ -88,16 +90,19 @@
     return units
 
 
-def _rate(
+def _get_cost(
     units: list[list[str]], sizes: t.Mapping[str, int]
 ) -> tuple[bool, float]:
-    """Return how little a division is liked; the lowest wins."""
+    """Return the cost of a division; the one with the lowest cost is used.
+
+    A division with a unit that is too large and could be split comes last.
+    """
     counts = [_count_workers(unit, sizes) for unit in units]
     mean = sum(counts) / len(counts)
     unevenness = math.log(max(counts) / min(counts))
     distance = abs(math.log(mean / UNIT_WORKERS))
     is_splittable = any(len(unit) > 1 for unit in units)
-    is_too_large = max(counts) > MOST_UNIT_WORKERS and is_splittable
+    is_too_large = max(counts) > MAX_UNIT_WORKERS and is_splittable
     return is_too_large, unevenness + _SIZE_WEIGHT * distance
 
 
@@ -105,16 +110,17 @@
     return sum(sizes[rack] for rack in unit)
 
 
-def _make_order(
+def _make_rack_key(
     sizes: t.Mapping[str, int],
 ) -> t.Callable[[str], tuple[int, str]]:
-    """Return a key that sorts racks, the largest first."""
+    """Return a key function that sorts racks by size, the largest first."""
     return lambda rack: (-sizes[rack], rack)
 
 
 def _group_by_domain(
     workers: t.Iterable[WorkerEntry],
 ) -> list[tuple[str, list[WorkerEntry]]]:
+    """Return the workers of each failure domain, sorted by domain."""
     groups: dict[str, list[WorkerEntry]] = {}
     for entry in workers:
         groups.setdefault(entry.failure_domain, []).append(entry)
@@ -124,10 +130,10 @@
 def extend_layout(
     layout: LayoutRecord, entries: t.Iterable[WorkerEntry]
 ) -> LayoutRecord:
-    """Return a layout that knows the racks of all these workers.
+    """Return the layout with the racks of these workers added.
 
-    A new rack joins the smallest unit of its failure domain that has room
-    for it, else it begins a unit of its own.
+    A new rack joins the smallest unit of its failure domain that can take it
+    within the size limit, or else forms a new unit. Known racks keep theirs.
     """
     workers = list(entries)
     sizes = collections.Counter(get_rack(entry) for entry in workers)
@@ -154,17 +160,17 @@
     domains: t.Mapping[str, str],
     limit: int,
 ) -> int:
-    """Return the unit that a new rack is to join."""
+    """Return the number of the unit that a new rack joins."""
     counts: dict[int, int] = {}
-    is_near: dict[int, bool] = {}
+    is_eligible: dict[int, bool] = {}
     for known, unit in racks.items():
         counts[unit] = counts.get(unit, 0) + sizes.get(known, 0)
-        near = limit > UNIT_WORKERS or domains.get(known) == domains[rack]
-        is_near[unit] = is_near.get(unit, True) and near
+        may_share = limit > UNIT_WORKERS or domains.get(known) == domains[rack]
+        is_eligible[unit] = is_eligible.get(unit, True) and may_share
     fitting = [
         (count, unit)
         for unit, count in counts.items()
-        if is_near[unit] and count + sizes[rack] <= limit
+        if is_eligible[unit] and count + sizes[rack] <= limit
     ]
     if fitting:
         return min(fitting)[1]
@@ -174,6 +180,7 @@
 def _name_domains(
     racks: t.Mapping[str, int], workers: t.Iterable[WorkerEntry]
 ) -> dict[str, str]:
+    """Return the failure domain of each unit; empty if it spans several."""
     found: dict[int, set[str]] = {}
     for entry in workers:
         unit = racks[get_rack(entry)]
--- a/tests/tulippin/jobs/test_kept_models.py
+++ b/tests/tulippin/jobs/test_kept_models.py
@@ -308,15 +308,15 @@
         state.swings.learn(job_id, at_ms, load, weight)
     state.swings.choose_period(at_ms)
     if not is_chosen:
-        state.swings.period = period
+        state.swings.period_index = period
     state.now_ms = at_ms
     successor = hand_over(state)
     for job_id in JOBS:
         for ahead_ms in (0, 700, 5000):
-            told = successor.swings.foretell(
+            told = successor.swings.predict_load(
                 job_id, at_ms + WALL_OFFSET_MS - OTHER_OFFSET_MS + ahead_ms
             )
-            known = state.swings.foretell(job_id, at_ms + ahead_ms)
+            known = state.swings.predict_load(job_id, at_ms + ahead_ms)
             if known is None:
                 assert told is None
             else:
--- a/tests/tulippin/jobs/test_layout.py
+++ b/tests/tulippin/jobs/test_layout.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tulippin.jobs.layout import (
-    MOST_UNIT_WORKERS,
+    MAX_UNIT_WORKERS,
     SINGLE_UNIT_WORKERS,
     UNIT_WORKERS,
     extend_layout,
@@ -53,7 +53,7 @@
     sizes = count_by_unit(layout, workers)
     assert len(sizes) == 6
     assert max(sizes.values()) <= 1.3 * min(sizes.values())
-    assert max(sizes.values()) <= MOST_UNIT_WORKERS
+    assert max(sizes.values()) <= MAX_UNIT_WORKERS
     assert min(sizes.values()) >= 0.9 * UNIT_WORKERS
     assert all(layout.failure_domains.values())
 
@@ -79,7 +79,7 @@
     sizes = count_by_unit(layout, workers)
     most = UNEVEN.get(per_rack, EVEN)
     assert max(sizes.values()) <= most * min(sizes.values())
-    assert max(sizes.values()) <= MOST_UNIT_WORKERS
+    assert max(sizes.values()) <= MAX_UNIT_WORKERS
     assert min(sizes.values()) >= UNIT_WORKERS / 2
 
 
--- a/tests/tulippin/jobs/test_swings.py
+++ b/tests/tulippin/jobs/test_swings.py
@@ -27,7 +27,7 @@
 def get_errors(model, jobs, at_ms, period_ms=PERIOD_MS):
     return [
         abs(
-            model.foretell(f'job-{phase}', at_ms)
+            model.predict_load(f'job-{phase}', at_ms)
             - get_load(phase, at_ms, period_ms)
         )
         for phase in range(jobs)
@@ -45,8 +45,8 @@
 def test_nothing_is_told_before_most_of_a_period_was_seen():
     model = SwingModel()
     watch(model, 5, 3000)
-    assert model.foretell('job-0', 4000) is None
-    assert model.foretell('unknown', 4000) is None
+    assert model.predict_load('job-0', 4000) is None
+    assert model.predict_load('unknown', 4000) is None
 
 
 def test_new_job_is_foretold_from_a_third_of_a_period():
@@ -54,7 +54,7 @@
     watch(model, 5, 20_000)
     for at_ms in range(20_000, 25_000, 400):
         model.learn('new', at_ms, get_load(1.0, at_ms), 1.0)
-    error = abs(model.foretell('new', 26_000) - get_load(1.0, 26_000))
+    error = abs(model.predict_load('new', 26_000) - get_load(1.0, 26_000))
     assert error < 0.08
 
 
@@ -64,7 +64,7 @@
     for at_ms in range(0, 30_000, 400):
         model.learn('job', at_ms, 0.3 + source.gauss(0, 0.02), 1.0)
         model.choose_period(at_ms)
-    assert model.foretell('job', 31_000) == pytest.approx(0.3, abs=0.03)
+    assert model.predict_load('job', 31_000) == pytest.approx(0.3, abs=0.03)
 
 
 def test_noise_is_not_taken_for_a_swing():
@@ -73,7 +73,7 @@
     for at_ms in range(0, 30_000, 400):
         model.learn('job', at_ms, source.uniform(0, 1), 1.0)
         model.choose_period(at_ms)
-    assert model.foretell('job', 31_000) is None
+    assert model.predict_load('job', 31_000) is None
 
 
 def test_changed_period_is_followed():
@@ -89,23 +89,23 @@
     offset_ms = 1_700_000_003_217
     angle = model.get_angle(offset_ms)
     waves = {
-        job_id: model.get_wave(job_id).turn(angle) for job_id in model.swings
+        job_id: model.get_wave(job_id).rotate(angle) for job_id in model.swings
     }
     other = SwingModel()
     # The successor's clock began 33 s later.
     other_offset_ms = offset_ms + 33_000
-    other.begin(model.period_ms, model.mean, 7000)
+    other.adopt_period(model.period_ms, model.mean, 7000)
     back = other.get_angle(other_offset_ms)
     for job_id, wave in waves.items():
-        other.restore(job_id, wave.turn(-back), 7000)
+        other.restore(job_id, wave.rotate(-back), 7000)
     for phase in range(5):
-        told = other.foretell(f'job-{phase}', 8000)
+        told = other.predict_load(f'job-{phase}', 8000)
         assert told == pytest.approx(get_load(phase, 41_000), abs=0.08)
 
 
 def test_swing_taken_over_yields_to_what_is_seen():
     model = SwingModel()
-    model.begin(PERIOD_MS, 0.45, 0)
+    model.adopt_period(PERIOD_MS, 0.45, 0)
     model.restore('job-0', Wave(0.45, -0.2, 0.1), 0)
     watch(model, 3, 60_000)
     assert max(get_errors(model, 3, 61_000)) < 0.1
