--- a/src/tulippin/jobs/_advising.py
+++ b/src/tulippin/jobs/_advising.py
@@ -133,19 +133,19 @@
 
 
 def _reset_learning(
-    error: Exception, what: str, event: JobEvent, context: Context
+    error: Exception, kind: str, event: JobEvent, context: Context
 ) -> None:
     """Reset the learned state, report the error, and pause learning."""
     state = context.state
     pause_ms = max(2 * state.advice_pause_ms, _FIRST_PAUSE_MS)
     state.advice_pause_ms = min(pause_ms, _MAX_PAUSE_MS)
     state.advice_after_ms = state.now_ms + state.advice_pause_ms
-    state.count(what.replace(' ', '_'))
+    state.count(kind.replace(' ', '_'))
     _memory.forget(state)
     for worker in state.workers.values():
         worker.exposure = None
         _interference.forget_view(worker)
-    context.emit(TellFailure(what, error, list_sources(event)))
+    context.emit(TellFailure(kind, error, list_sources(event)))
 
 
 def _log_rejected_sample(
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -54,7 +54,7 @@
         worker = context.state.workers.get(worker_id)
         if worker is not None and worker.is_listed:
             worker.is_listed = False
-            context.log('worker gone', worker=worker_id)
+            context.log('worker unlisted', worker=worker_id)
 
 
 def note_entry(entry: WorkerEntry, read_ms: int, context: Context) -> None:
@@ -355,7 +355,7 @@
         if _is_forgettable(worker, state):
             if worker.is_rostered and not worker.is_reconciled:
                 state.lost_unread.setdefault(worker.worker_id, False)
-            context.log('worker forgotten', worker=worker.worker_id)
+            context.log('worker removed', worker=worker.worker_id)
             del state.workers[worker.worker_id]
             context.emit(ForgetWorker(worker.worker_id))
 
--- a/tests/tulippin/jobs/test_foreign_rows.py
+++ b/tests/tulippin/jobs/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the scheduler's own tables that another writer got wrong."""
+"""Invalid rows of other writers in the scheduler's tables, at the reducer."""
 
 import attrs
 import logbook
@@ -73,7 +73,7 @@
     return make_row(job_id, JobRecord(QUEUE, request), version)
 
 
-def make_loading():
+def make_loading_state():
     state = core.make_state(SchedulerConfig('i', 'i:1'))
     state.now_ms = NOW_MS
     state.ownership.phase = Phase.LOADING
@@ -83,9 +83,9 @@
     return state
 
 
-def load(jobs=(), progress=(), **fields):
-    """Return a unit that has two workers which have answered."""
-    state = make_loading()
+def load_unit(jobs=(), progress=(), **fields):
+    """Return the state of a unit with two workers, after loading the rows."""
+    state = make_loading_state()
     roster = {'w0': 'w0:80', 'w1': 'w1:80'}
     fields.setdefault('roster', RosterRecord(roster))
     event = UnitLoaded(
@@ -107,8 +107,8 @@
     return core.reduce(state, event)
 
 
-def pass_time(state, ms=3000, step_ms=50):
-    """Let time pass; return all effects."""
+def advance_time(state, ms=3000, step_ms=50):
+    """Advance the time with ticks; return all effects."""
     effects = []
     for _ in range(0, ms, step_ms):
         state.ownership.renewed_ms = state.now_ms
@@ -117,10 +117,10 @@
     return effects
 
 
-def settle(state):
-    """Have both workers answer, and time pass; return all effects."""
+def answer_and_wait(state):
+    """Let both workers answer and advance the time; return all effects."""
     effects = [*answer(state, 'w0'), *answer(state, 'w1')]
-    effects.extend(pass_time(state))
+    effects.extend(advance_time(state))
     return effects
 
 
@@ -151,17 +151,17 @@
 # -- jobs ---------------------------------------------------------------------
 
 
-JOBS = {
+INVALID_JOBS = {
     **UNREADABLE,
     'no steps': JobRecord(QUEUE, JobRequest('text', ())),
     'no tasks': change_steps(task_count=0),
-    'fewer than no tasks': change_steps(task_count=-1),
-    'tasks without end': change_steps(task_count=10**15),
-    'waits for itself': change_steps(after=(0,)),
-    'waits for one behind': change_steps(after=(7,)),
-    'waits for one before the first': change_steps(after=(-1,)),
-    'asks for less than nothing': change_steps(size=Resources(-1, 0)),
-    'times without end': JobRecord(
+    'negative task count': change_steps(task_count=-1),
+    'too many tasks': change_steps(task_count=10**15),
+    'depends on itself': change_steps(after=(0,)),
+    'depends on a later step': change_steps(after=(7,)),
+    'depends on a negative step': change_steps(after=(-1,)),
+    'negative size': change_steps(size=Resources(-1, 0)),
+    'too many occurrences': JobRecord(
         QUEUE, attrs.evolve(REQUEST, schedule=Schedule(0, 1, 10**15))
     ),
     'queue is a text': b'{"queue":"q","request":{"spec":"","steps":[]}}',
@@ -169,16 +169,16 @@
 
 
 @pytest.mark.parametrize('is_new', [False, True])
-@pytest.mark.parametrize('name', sorted(JOBS))
-def test_wrong_job_row_takes_no_other_with_it(name, is_new):
-    rows = [make_row(JOB, JOBS[name]), make_job_row()]
+@pytest.mark.parametrize('name', sorted(INVALID_JOBS))
+def test_invalid_job_row_affects_no_other_job(name, is_new):
+    rows = [make_row(JOB, INVALID_JOBS[name]), make_job_row()]
     with logbook.TestHandler() as handler:
         if is_new:
-            state = load()
+            state = load_unit()
             core.reduce(state, JobsChanged(state.now_ms, tuple(rows)))
         else:
-            state = load(rows)
-        started = list_started(settle(state))
+            state = load_unit(rows)
+        started = list_started(answer_and_wait(state))
     assert list(state.jobs) == [OTHER]
     assert {key.job_id for key in started} == {OTHER}
     assert count_lines(handler, 'row unreadable') == 1
@@ -186,94 +186,94 @@
 
 @pytest.mark.parametrize('key', ['', '.', 'a.b', 'a/b', '/', 'a/other', 'a/'])
 @pytest.mark.parametrize('is_guest', [False, True])
-def test_odd_key_names_no_job(key, is_guest):
+def test_row_with_an_invalid_key_is_no_job(key, is_guest):
     record = JobRecord(QUEUE, REQUEST)
     if is_guest:
         record = GuestRecord(QUEUE, REQUEST, {'0.0.0': 1})
         key = f'{key}/guest'
-    state = load([make_row(key, record), make_job_row()])
-    settle(state)
+    state = load_unit([make_row(key, record), make_job_row()])
+    answer_and_wait(state)
     assert list(state.jobs) == [OTHER]
 
 
-@pytest.mark.parametrize('name', sorted(JOBS))
-def test_job_that_turns_wrong_goes_on(name):
-    state = load([make_job_row(JOB)])
-    rows = (make_row(JOB, JOBS[name], 200),)
+@pytest.mark.parametrize('name', sorted(INVALID_JOBS))
+def test_job_whose_row_becomes_invalid_continues(name):
+    state = load_unit([make_job_row(JOB)])
+    rows = (make_row(JOB, INVALID_JOBS[name], 200),)
     core.reduce(state, JobsChanged(state.now_ms, rows))
-    assert len(list_started(settle(state))) == 2
+    assert len(list_started(answer_and_wait(state))) == 2
 
 
-def test_job_that_was_unreadable_at_loading_starts_nothing_once_it_is_read():
-    # Its progress was not looked at, and its runs were taken for strays.
-    state = load([make_row(JOB, b'{')])
+def test_job_that_was_unreadable_at_loading_starts_nothing_later():
+    # Its progress was not read, and its runs were stopped as orphaned.
+    state = load_unit([make_row(JOB, b'{')])
     row = make_job_row(JOB, version=200)
     core.reduce(state, JobsChanged(state.now_ms, (row,)))
-    assert list_started(settle(state)) == []
+    assert list_started(answer_and_wait(state)) == []
     assert state.jobs[JOB].is_past_unknown
 
 
-def test_job_that_came_unreadable_is_new_once_it_is_read():
-    state = load()
+def test_job_that_arrived_unreadable_starts_once_it_is_readable():
+    state = load_unit()
     for row in (make_row(JOB, b'{', 150), make_job_row(JOB, version=200)):
         core.reduce(state, JobsChanged(state.now_ms, (row,)))
-    assert len(list_started(settle(state))) == 2
+    assert len(list_started(answer_and_wait(state))) == 2
 
 
 @pytest.mark.parametrize('name', sorted(UNREADABLE))
-def test_unreadable_cancel_is_a_cancel(name):
-    state = load(
+def test_unreadable_cancel_row_cancels_the_job(name):
+    state = load_unit(
         [make_job_row(JOB), make_row(f'{JOB}/cancel', UNREADABLE[name])]
     )
-    assert list_started(settle(state)) == []
+    assert list_started(answer_and_wait(state)) == []
     assert state.jobs[JOB].state is JobState.CANCELLED
 
 
-# -- tasks that another unit passed on ----------------------------------------
+# -- transferred jobs ---------------------------------------------------------
 
 
 def make_guest(passes=None, **fields):
     return GuestRecord(QUEUE, REQUEST, passes or {'0.0.0': 1}, **fields)
 
 
-GUESTS = {
+INVALID_GUESTS = {
     **UNREADABLE,
     'no task': make_guest({'': 1}),
     'name of a step': make_guest({'0.0': 1}),
-    'whole name': make_guest({f'{JOB}.0.0.0': 1}),
-    'words': make_guest({'a.b.c': 1}),
-    'below none': make_guest({'0.0.-1': 1}),
+    'full name': make_guest({f'{JOB}.0.0.0': 1}),
+    'not numbers': make_guest({'a.b.c': 1}),
+    'negative index': make_guest({'0.0.-1': 1}),
     'no such occurrence': make_guest({'1.0.0': 1}),
     'no such step': make_guest({'0.2.0': 1}),
     'no such task': make_guest({'0.0.2': 1}),
-    'other digits': make_guest({'0.0.\u0661': 1}),
-    'pass below none': make_guest({'0.0.0': -1}),
-    'run below none': make_guest(runs={'0.0.0': -5}),
-    'run of no task': make_guest(runs={'0.9.9': 5}),
-    'begun of no task': make_guest(begun=('0.9.9',)),
+    'non-ASCII digits': make_guest({'0.0.\u0661': 1}),
+    'negative transfer number': make_guest({'0.0.0': -1}),
+    'negative run': make_guest(runs={'0.0.0': -5}),
+    'run of an unknown task': make_guest(runs={'0.9.9': 5}),
+    'start of an unknown task': make_guest(begun=('0.9.9',)),
     'no steps': GuestRecord(QUEUE, JobRequest('', ()), {}),
 }
 
 
 @pytest.mark.parametrize('is_new', [False, True])
-@pytest.mark.parametrize('name', sorted(GUESTS))
-def test_wrong_guest_row_takes_no_other_with_it(name, is_new):
-    rows = [make_row(f'{JOB}/guest', GUESTS[name]), make_job_row()]
+@pytest.mark.parametrize('name', sorted(INVALID_GUESTS))
+def test_invalid_transferred_job_affects_no_other_job(name, is_new):
+    rows = [make_row(f'{JOB}/guest', INVALID_GUESTS[name]), make_job_row()]
     if is_new:
-        state = load()
+        state = load_unit()
         core.reduce(state, JobsChanged(state.now_ms, tuple(rows)))
     else:
-        state = load(rows)
-    started = list_started(settle(state))
+        state = load_unit(rows)
+    started = list_started(answer_and_wait(state))
     assert {key.job_id for key in started} == {OTHER}
 
 
-def test_guest_row_with_other_steps_than_its_job_changes_nothing():
+def test_transferred_job_with_different_steps_changes_nothing():
     longer = JobRequest('text', (Step(9, SIZE),))
     guest = GuestRecord(QUEUE, longer, {'0.0.8': 1})
-    state = load([make_job_row(JOB), make_row(f'{JOB}/guest', guest)])
+    state = load_unit([make_job_row(JOB), make_row(f'{JOB}/guest', guest)])
     assert state.jobs[JOB].passes == {}
-    assert len(list_started(settle(state))) == 2
+    assert len(list_started(answer_and_wait(state))) == 2
 
 
 # -- progress -----------------------------------------------------------------
@@ -283,45 +283,45 @@
     return ProgressRecord(JobState.RUNNING, **fields)
 
 
-PROGRESS = {
+INVALID_PROGRESS = {
     **UNREADABLE,
     'no such state': b'{"state":"odd"}',
     'done without a step': make_progress(done={'': '1'}),
-    'done with a word': make_progress(done={'a.b': '1'}),
+    'done of a step that is not a number': make_progress(done={'a.b': '1'}),
     'done of a task': make_progress(done={'0.0.0': '1'}),
-    'done of no step': make_progress(done={'0.7': '1'}),
-    'done of no occurrence': make_progress(done={'3.0': '1'}),
-    'done below none': make_progress(done={'0.-1': '1'}),
+    'done of an unknown step': make_progress(done={'0.7': '1'}),
+    'done of an unknown occurrence': make_progress(done={'3.0': '1'}),
+    'done of a negative step': make_progress(done={'0.-1': '1'}),
     'no bits': make_progress(done={'0.0': ''}),
-    'bits are words': make_progress(done={'0.0': 'xyz'}),
-    'bits below none': make_progress(done={'0.0': '-1'}),
-    'bits with a sign': make_progress(done={'0.0': '0x1'}),
+    'bits are not hexadecimal': make_progress(done={'0.0': 'xyz'}),
+    'negative bits': make_progress(done={'0.0': '-1'}),
+    'bits with a prefix': make_progress(done={'0.0': '0x1'}),
     'more bits than tasks': make_progress(done={'0.0': 'f'}),
-    'failures of no task': make_progress(failures={'0.9.0': [1]}),
-    'failures of a word': make_progress(failures={'x': [1]}),
-    'passed no task': make_progress(passed={'0.0.9': (1, 1, 1)}),
-    'passed to no unit': make_progress(passed={'0.0.0': (-1, 1, 1)}),
-    'passed too short': b'{"state":"running","passed":{"0.0.0":[1]}}',
-    'avoided of no task': make_progress(avoided={'9.0.0': ['w']}),
-    'crashes of no task': make_progress(crashes={'0.9.0': ()}),
-    'started of no task': make_progress(started={'0.0.9': (1, 'w0')}),
-    'crashes that tell nothing': make_progress(crashes={'0.0.0': ({},)}),
-    'doubts below none': make_progress(doubts=-1),
+    'failures of an unknown task': make_progress(failures={'0.9.0': [1]}),
+    'failures of a malformed name': make_progress(failures={'x': [1]}),
+    'transfer of an unknown task': make_progress(passed={'0.0.9': (1, 1, 1)}),
+    'transfer to a negative unit': make_progress(passed={'0.0.0': (-1, 1, 1)}),
+    'transfer too short': b'{"state":"running","passed":{"0.0.0":[1]}}',
+    'avoided of an unknown task': make_progress(avoided={'9.0.0': ['w']}),
+    'crashes of an unknown task': make_progress(crashes={'0.9.0': ()}),
+    'started of an unknown task': make_progress(started={'0.0.9': (1, 'w0')}),
+    'empty crash record': make_progress(crashes={'0.0.0': ({},)}),
+    'negative doubts': make_progress(doubts=-1),
 }
 
 
-@pytest.mark.parametrize('name', sorted(PROGRESS))
+@pytest.mark.parametrize('name', sorted(INVALID_PROGRESS))
 def test_job_with_unreadable_progress_starts_nothing(name):
     progress = [
-        make_row(JOB, PROGRESS[name], 20, 'progress0', 'u0'),
+        make_row(JOB, INVALID_PROGRESS[name], 20, 'progress0', 'u0'),
         make_row(OTHER, make_progress(done={'0.0': '1'}), 20, 'progress0'),
     ]
     with logbook.TestHandler() as handler:
-        state = load([make_job_row(JOB), make_job_row()], progress)
-        effects = settle(state)
-    # What may be done, or be over, isn't run again; the others go on.
+        state = load_unit([make_job_row(JOB), make_job_row()], progress)
+        effects = answer_and_wait(state)
+    # Tasks that may be done are not run again; other jobs continue.
     assert list_started(effects) == [TaskKey(OTHER, 0, 0, 1)]
-    # Nothing of the withheld job is written, and of the other its start alone.
+    # Only the start of the other job's task is written.
     (write,) = list_committed(effects)
     assert write.job_id == OTHER
     assert write.record == ProgressRecord(
@@ -333,19 +333,19 @@
 
 def test_job_with_unreadable_progress_can_be_cancelled():
     progress = [make_row(JOB, b'{', 20, 'progress0', 'u0')]
-    state = load([make_job_row(JOB)], progress)
-    settle(state)
+    state = load_unit([make_job_row(JOB)], progress)
+    answer_and_wait(state)
     row = make_row(f'{JOB}/cancel', b'{}', 200)
     effects = core.reduce(state, JobsChanged(state.now_ms, (row,)))
     committed = list_committed(effects)
     assert [write.record.state for write in committed] == [JobState.CANCELLED]
-    # Over the row that is there.
+    # It replaces the unreadable row.
     assert committed[0].version == 20
 
 
-def test_run_of_a_job_with_unreadable_progress_goes_on_and_is_not_repeated():
+def test_run_of_a_job_with_unreadable_progress_continues_and_is_not_repeated():
     progress = [make_row(JOB, b'{', 20, 'progress0', 'u0')]
-    state = load([make_job_row(JOB)], progress)
+    state = load_unit([make_job_row(JOB)], progress)
     key = TaskKey(JOB, 0, 0, 0)
     effects = [
         *answer(state, 'w0', [RunningTask(key, 7, '', 10, None)]),
@@ -355,12 +355,12 @@
     state.now_ms += 50
     ended = EndedRun(1, key, 7, RunOutcome.FAILED, '')
     effects.extend(answer(state, 'w0', ended=[ended]))
-    effects.extend(pass_time(state))
+    effects.extend(advance_time(state))
     assert list_started(effects) == []
     assert list_committed(effects) == []
 
 
 def test_removed_progress_row_changes_nothing():
     rows = [StoredRow('progress0', 'u0', JOB, None, 20)]
-    state = load([make_job_row(JOB)], rows)
-    assert len(list_started(settle(state))) == 2
+    state = load_unit([make_job_row(JOB)], rows)
+    assert len(list_started(answer_and_wait(state))) == 2
--- a/tests/tulippin/jobs/test_foreign_units.py
+++ b/tests/tulippin/jobs/test_foreign_units.py
@@ -1,4 +1,4 @@
-"""Rows of a unit that another writer got wrong, met by running instances."""
+"""Invalid rows of other writers in a unit's tables, with running instances."""
 
 import json
 
@@ -27,10 +27,10 @@
 from tulippin.jobs.types import JobState, Queue
 from tulippin.platform.wire import RouteBody
 
-LIMIT_MS = 3000
+DEADLINE_MS = 3000
 JOB = f'{1:016x}'
 OTHER = f'{2:016x}'
-WRONG = {
+MALFORMED = {
     'empty': b'',
     'cut off': b'{"session_id":"x"',
     'not text': b'{"session_id":"\xff"}',
@@ -40,31 +40,35 @@
     'random bytes': bytes(range(256)),
     'deep': b'{"x":' + b'[' * 60_000 + b']' * 60_000 + b'}',
 }
-LEASES = {
-    **WRONG,
-    'waits below none': encode(LeaseRecord('a', 'b', 1, waiting={'q': -1})),
-    'renewed below none': encode(LeaseRecord('a', 'b', -1)),
-    'waiting is a text': b'{"session_id":"a","instance_id":"b","waiting":"x"}',
+INVALID_LEASES = {
+    **MALFORMED,
+    'negative waiting count': encode(
+        LeaseRecord('a', 'b', 1, waiting={'q': -1})
+    ),
+    'negative renewal count': encode(LeaseRecord('a', 'b', -1)),
+    'waiting is text': b'{"session_id":"a","instance_id":"b","waiting":"x"}',
 }
-EPOCHS = {
-    **WRONG,
-    'below none': encode(EpochRecord(-1, 'x')),
-    'none': encode(EpochRecord(0, 'x')),
-    'above any': encode(EpochRecord(2**62, 'x')),
-    'above any number': b'{"epoch":1' + b'0' * 40 + b',"session_id":"x"}',
+INVALID_EPOCHS = {
+    **MALFORMED,
+    'negative': encode(EpochRecord(-1, 'x')),
+    'zero': encode(EpochRecord(0, 'x')),
+    'too large': encode(EpochRecord(2**62, 'x')),
+    'too large for an integer': b'{"epoch":1'
+    + b'0' * 40
+    + b',"session_id":"x"}',
 }
-LAYOUTS = {
-    **WRONG,
-    'unit below none': encode(LayoutRecord({'r1': -1})),
-    'unit above any': encode(LayoutRecord({'r1': 10**9})),
-    'unit is a text': b'{"racks":{"r1":"0"}}',
+INVALID_LAYOUTS = {
+    **MALFORMED,
+    'negative unit': encode(LayoutRecord({'r1': -1})),
+    'unit too large': encode(LayoutRecord({'r1': 10**9})),
+    'unit is a string': b'{"racks":{"r1":"0"}}',
 }
 
 
 async def submit(fleet, job_id, request=None, by=None):
     name = by or next(iter(fleet.instances))
     intake = fleet.instances[name].intake
-    await intake.submit(job_id, QUEUE, request or make_request(), LIMIT_MS)
+    await intake.submit(job_id, QUEUE, request or make_request(), DEADLINE_MS)
 
 
 def count_starts(fleet, job_id):
@@ -85,16 +89,16 @@
 
 
 @pytest.mark.parametrize('kind', ['state', 'address', 'unreadable'])
-def test_worker_whose_entry_turned_wrong_keeps_its_runs_and_gets_no_more(
+def test_worker_with_an_invalid_entry_keeps_its_runs_and_gets_no_more(
     run_virtual, monkeypatch, kind
 ):
     async def run():
         async with open_fleet(workers=1) as fleet:
             worker = fleet.platform.workers['w0']
-            beat = worker.make_body
+            make_heartbeat = worker.make_body
 
-            def spoil(sequence):
-                body = json.loads(beat(sequence))
+            def corrupt(sequence):
+                body = json.loads(make_heartbeat(sequence))
                 if kind == 'state':
                     body['State'] = 'odd'
                 elif kind == 'address':
@@ -106,7 +110,7 @@
             await submit(fleet, JOB, make_request(make_step(2), run_ms=9000))
             await fleet.wait_running(2)
             monkeypatch.setattr(
-                type(worker), 'make_body', lambda _, n: spoil(n)
+                type(worker), 'make_body', lambda _, n: corrupt(n)
             )
             fleet.platform.beat(worker)
             await trio.sleep(1)
@@ -124,10 +128,10 @@
     run_virtual(run)
 
 
-def test_successor_waits_for_a_worker_with_a_wrong_entry(
+def test_next_owner_waits_for_a_worker_with_an_invalid_entry(
     run_virtual, monkeypatch
 ):
-    """What runs there is found by the roster, and is not started twice."""
+    """Its runs are known from the roster and are not started twice."""
 
     async def run():
         async with open_fleet(workers=2) as fleet:
@@ -137,12 +141,12 @@
             worker = fleet.platform.workers['w0']
             make_body = type(worker).make_body
 
-            def spoil(one, sequence):
+            def corrupt(one, sequence):
                 if one is worker:
                     return b'\xff'
                 return make_body(one, sequence)
 
-            monkeypatch.setattr(type(worker), 'make_body', spoil)
+            monkeypatch.setattr(type(worker), 'make_body', corrupt)
             fleet.platform.beat(worker)
             await trio.sleep(1)
             fleet.kill(fleet.get_owner())
@@ -156,9 +160,7 @@
 
 
 @pytest.mark.parametrize('address', ['10.9.0.1:80', '10.6.6.6:80'])
-def test_entry_with_the_address_of_another_worker_costs_no_run(
-    run_virtual, address
-):
+def test_entry_with_a_different_address_stops_no_run(run_virtual, address):
     async def run():
         async with open_fleet(workers=2) as fleet:
             step = make_step(2, 9000, long_running=True)
@@ -180,7 +182,7 @@
     run_virtual(run)
 
 
-def test_worker_first_listed_with_a_wrong_address_is_used_in_the_end(
+def test_worker_first_listed_with_a_wrong_address_is_used_later(
     run_virtual,
 ):
     async def run():
@@ -206,7 +208,7 @@
 
 
 @pytest.mark.parametrize('rack', ['r1', 'r9'])
-def test_worker_of_a_service_without_a_name_gets_no_order(run_virtual, rack):
+def test_worker_of_an_unconfigured_service_gets_no_order(run_virtual, rack):
     async def run():
         async with open_fleet(workers=1) as fleet:
             worker = fleet.platform.add_worker(
@@ -224,9 +226,7 @@
 
 
 @pytest.mark.parametrize('rack', ['r1', 'r9'])
-def test_worker_is_used_once_a_configuration_names_its_service(
-    run_virtual, rack
-):
+def test_worker_is_used_once_its_service_is_configured(run_virtual, rack):
     async def run():
         async with open_fleet(workers=1) as fleet:
             fleet.platform.add_worker('w9', service='odd', labels=('a', rack))
@@ -240,12 +240,12 @@
             queue = Queue('r', 'host', '/r/', 'odd')
             intake = fleet.instances['i0'].intake
             await trio.sleep(4)
-            await intake.submit(JOB, queue, make_request(), LIMIT_MS)
+            await intake.submit(JOB, queue, make_request(), DEADLINE_MS)
             await fleet.wait_done(JOB)
             assert list_rostered(fleet) == {'w0', 'w9'}
-            # A later one without it takes no place from accepted jobs.
+            # Accepted jobs still run if a later configuration lacks it.
             fleet.platform.configure(make_config_body(3))
-            await intake.submit(OTHER, queue, make_request(), LIMIT_MS)
+            await intake.submit(OTHER, queue, make_request(), DEADLINE_MS)
             await fleet.wait_done(OTHER)
 
     run_virtual(run)
@@ -254,8 +254,8 @@
 # -- lease and epoch ----------------------------------------------------------
 
 
-@pytest.mark.parametrize('name', sorted(LEASES))
-def test_wrong_lease_row_takes_no_unit_from_its_owner(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(INVALID_LEASES))
+def test_invalid_lease_row_does_not_end_ownership(run_virtual, name):
     async def run():
         async with open_fleet(instances=3) as fleet:
             owner = fleet.get_owner()
@@ -263,7 +263,7 @@
             version = unit.epoch_version
             store = fleet.platform.store
             for _ in range(8):
-                store.write('units', 'u0', 'lease', LEASES[name])
+                store.write('units', 'u0', 'lease', INVALID_LEASES[name])
                 await trio.sleep(0.33)
             assert fleet.get_owner() == owner
             assert unit.epoch_version == version
@@ -274,16 +274,16 @@
     run_virtual(run)
 
 
-@pytest.mark.parametrize('name', sorted(LEASES))
-def test_unit_whose_lease_stays_wrong_is_taken_once_its_owner_is_gone(
+@pytest.mark.parametrize('name', sorted(INVALID_LEASES))
+def test_unit_with_an_invalid_lease_is_taken_after_its_owner_fails(
     run_virtual, name
 ):
     async def run():
         async with open_fleet(instances=2) as fleet:
-            gone = fleet.get_owner()
-            fleet.kill(gone)
+            failed_owner = fleet.get_owner()
+            fleet.kill(failed_owner)
             store = fleet.platform.store
-            store.write('units', 'u0', 'lease', LEASES[name])
+            store.write('units', 'u0', 'lease', INVALID_LEASES[name])
             await fleet.wait_owner(limit_s=4)
             await submit(fleet, JOB)
             await fleet.wait_done(JOB)
@@ -293,8 +293,8 @@
     assert count_lines(handler, 'row unreadable', key='lease') == 1
 
 
-@pytest.mark.parametrize('name', sorted(EPOCHS))
-def test_wrong_epoch_row_leads_to_a_higher_epoch(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(INVALID_EPOCHS))
+def test_invalid_epoch_row_leads_to_a_higher_epoch(run_virtual, name):
     async def run():
         async with open_fleet(instances=2) as fleet:
             step = make_step(2, long_running=True)
@@ -302,7 +302,7 @@
             await fleet.wait_running(2)
             fences = [one.fence for one in fleet.platform.workers.values()]
             store = fleet.platform.store
-            store.write('units', 'u0', 'epoch', EPOCHS[name])
+            store.write('units', 'u0', 'epoch', INVALID_EPOCHS[name])
             await trio.sleep(4)
             await fleet.wait_owner(limit_s=8)
             await submit(fleet, OTHER)
@@ -318,12 +318,12 @@
     run_virtual(run)
 
 
-# -- roster and account -------------------------------------------------------
+# -- roster and release report ------------------------------------------------
 
 
-@pytest.mark.parametrize('name', sorted(WRONG))
-def test_without_a_roster_all_leases_are_waited_out(run_virtual, name):
-    """One worker runs a task, is silent, and is off the list."""
+@pytest.mark.parametrize('name', sorted(MALFORMED))
+def test_takeover_without_a_roster_waits_for_all_leases(run_virtual, name):
+    """A worker that runs a task does not answer and is off the list."""
 
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
@@ -336,14 +336,14 @@
             worker.cut_off.add('*')
             fleet.platform.remove('w0')
             store = fleet.platform.store
-            store.write('units', 'u0', 'roster', WRONG[name])
+            store.write('units', 'u0', 'roster', MALFORMED[name])
             fleet.platform.add_worker('w2')
             await fleet.wait_owner()
             with trio.fail_after(15):
                 while count_starts(fleet, JOB) < 3:
                     await trio.sleep(0.05)
             fleet.check()
-            # It was written anew, and the next owner goes by it.
+            # The roster was rewritten for the next owner.
             roster = json.loads(store.rows['units', 'u0', 'roster'].value)
             assert {'w1', 'w2'} <= roster['addresses'].keys()
 
@@ -352,24 +352,26 @@
     assert count_lines(handler, 'row unreadable', key='roster') == 1
 
 
-def make_account(told):
-    return f'{{"epoch":1,"workers":{{"w0":{{{told}}}}}}}'.encode()
+def make_release_report(worker_fields):
+    return f'{{"epoch":1,"workers":{{"w0":{{{worker_fields}}}}}}}'.encode()
 
 
-ACCOUNTS = {
-    **WRONG,
-    'lasts below none': make_account('"lasting_ms":-9000,"tasks":[]'),
-    'lasts without end': make_account('"lasting_ms":1000000,"tasks":[]'),
-    'no task': make_account('"lasting_ms":0,"tasks":["x"]'),
-    'step below none': make_account('"lasting_ms":0,"tasks":["a.0.-1.0"]'),
-    'tasks there are not': make_account(
+INVALID_RELEASE_REPORTS = {
+    **MALFORMED,
+    'negative validity': make_release_report('"lasting_ms":-9000,"tasks":[]'),
+    'excessive validity': make_release_report(
+        '"lasting_ms":1000000,"tasks":[]'
+    ),
+    'malformed task name': make_release_report('"lasting_ms":0,"tasks":["x"]'),
+    'negative step': make_release_report('"lasting_ms":0,"tasks":["a.0.-1.0"]'),
+    'unknown tasks': make_release_report(
         f'"lasting_ms":0,"tasks":["{JOB}.0.9.0","{JOB}.7.0.0","{JOB}.0.0.9"]'
     ),
 }
 
 
-@pytest.mark.parametrize('name', sorted(ACCOUNTS))
-def test_wrong_account_starts_nothing_twice(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(INVALID_RELEASE_REPORTS))
+def test_invalid_release_report_starts_nothing_twice(run_virtual, name):
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
             step = make_step(2, 9000, long_running=True)
@@ -380,7 +382,9 @@
             await instance.shell.leave()
             fleet.kill(owner)
             store = fleet.platform.store
-            store.write('accounts', 'u0', 'account', ACCOUNTS[name])
+            store.write(
+                'accounts', 'u0', 'account', INVALID_RELEASE_REPORTS[name]
+            )
             store.write('accounts', 'u0', 'a', b'{"epoch":1,"workers":{}}')
             await fleet.wait_owner()
             await submit(fleet, OTHER)
@@ -394,41 +398,41 @@
 # -- the layout ---------------------------------------------------------------
 
 
-@pytest.mark.parametrize('name', sorted([*LAYOUTS, 'moved']))
-def test_wrong_layout_is_written_over_by_the_one_in_force(run_virtual, name):
+@pytest.mark.parametrize('name', sorted([*INVALID_LAYOUTS, 'moved']))
+def test_invalid_layout_is_replaced_by_the_current_one(run_virtual, name):
     async def run():
         async with open_fleet(instances=2) as fleet:
             store = fleet.platform.store
-            good = store.rows['units', 'layout', 'layout'].value
+            valid = store.rows['units', 'layout', 'layout'].value
             moved = encode(LayoutRecord({'r1': 1}))
-            wrong = LAYOUTS.get(name, moved)
-            store.write('units', 'layout', 'layout', wrong)
+            invalid = INVALID_LAYOUTS.get(name, moved)
+            store.write('units', 'layout', 'layout', invalid)
             await submit(fleet, JOB)
             await fleet.wait_done(JOB)
             await trio.sleep(4)
-            assert store.rows['units', 'layout', 'layout'].value == good
+            assert store.rows['units', 'layout', 'layout'].value == valid
             for instance in fleet.instances.values():
                 assert list(instance.shell.units) == [0]
 
     with logbook.TestHandler() as handler:
         run_virtual(run)
-    # Once at each instance.
+    # One line at each instance.
     assert count_lines(handler, 'row unreadable', key='layout') == 2
 
 
-def test_instance_that_starts_meets_no_layout_and_makes_none(run_virtual):
+def test_starting_instance_does_not_replace_an_unreadable_layout(run_virtual):
     async def run():
         async with open_fleet(instances=1) as fleet:
             fleet.kill(fleet.get_owner())
             store = fleet.platform.store
-            good = store.rows['units', 'layout', 'layout'].value
+            valid = store.rows['units', 'layout', 'layout'].value
             store.write('units', 'layout', 'layout', b'{')
             instance = await fleet.start('i1')
             await trio.sleep(10)
             assert store.rows['units', 'layout', 'layout'].value == b'{'
             with pytest.raises(UnavailableError):
                 await submit(fleet, JOB)
-            store.write('units', 'layout', 'layout', good)
+            store.write('units', 'layout', 'layout', valid)
             await submit(fleet, JOB)
             await fleet.wait_done(JOB)
             assert instance.is_owner
@@ -441,29 +445,27 @@
 # -- callers ------------------------------------------------------------------
 
 
-HOMES = {
-    **WRONG,
-    'unit below none': encode(HomeRecord(-1)),
-    'guests above any': encode(HomeRecord(0, (10**9,))),
-    'unit is a text': b'{"unit":"0"}',
+INVALID_HOMES = {
+    **MALFORMED,
+    'negative unit': encode(HomeRecord(-1)),
+    'transfer unit too large': encode(HomeRecord(0, (10**9,))),
+    'unit is a string': b'{"unit":"0"}',
 }
 
 
-@pytest.mark.parametrize('name', sorted(HOMES))
-def test_job_with_an_unreadable_home_is_neither_taken_nor_denied(
-    run_virtual, name
-):
+@pytest.mark.parametrize('name', sorted(INVALID_HOMES))
+def test_job_with_an_unreadable_home_is_unavailable(run_virtual, name):
     async def run():
         async with open_fleet() as fleet:
             store = fleet.platform.store
-            store.write('homes', get_jobs_part(JOB), JOB, HOMES[name])
+            store.write('homes', get_jobs_part(JOB), JOB, INVALID_HOMES[name])
             intake = fleet.instances['i0'].intake
             with pytest.raises(UnavailableError):
                 await submit(fleet, JOB)
             with pytest.raises(UnavailableError):
                 await intake.get_state(JOB)
             with pytest.raises(UnavailableError):
-                await intake.cancel(JOB, QUEUE, LIMIT_MS)
+                await intake.cancel(JOB, QUEUE, DEADLINE_MS)
             await submit(fleet, OTHER)
             await fleet.wait_done(OTHER)
             assert count_starts(fleet, JOB) == 0
@@ -472,29 +474,29 @@
     run_virtual(run)
 
 
-@pytest.mark.parametrize('name', sorted(WRONG))
-def test_state_that_is_unreadable_is_not_told_as_pending(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(MALFORMED))
+def test_unreadable_state_is_not_reported_as_pending(run_virtual, name):
     async def run():
         async with open_fleet() as fleet:
             await submit(fleet, JOB)
             await fleet.wait_done(JOB)
             store = fleet.platform.store
-            store.write('progress0', 'u0', JOB, WRONG[name])
+            store.write('progress0', 'u0', JOB, MALFORMED[name])
             fleet.kill(fleet.get_owner())
             await fleet.wait_owner()
-            left = next(iter(fleet.instances.values()))
+            successor = next(iter(fleet.instances.values()))
             with pytest.raises(UnavailableError):
-                await left.intake.get_state(JOB)
+                await successor.intake.get_state(JOB)
             await trio.sleep(8)
             assert count_starts(fleet, JOB) == 1
-            assert await left.intake.cancel(JOB, QUEUE, LIMIT_MS)
+            assert await successor.intake.cancel(JOB, QUEUE, DEADLINE_MS)
             await fleet.wait_state(JOB, JobState.CANCELLED)
 
     run_virtual(run)
 
 
-@pytest.mark.parametrize('name', sorted(WRONG))
-def test_progress_that_turns_wrong_under_an_owner_ends_nothing(
+@pytest.mark.parametrize('name', sorted(MALFORMED))
+def test_progress_that_becomes_invalid_does_not_stop_its_owner(
     run_virtual, name
 ):
     async def run():
@@ -502,7 +504,7 @@
             await submit(fleet, JOB, make_request(make_step(2), run_ms=3000))
             await fleet.wait_state(JOB, JobState.RUNNING)
             store = fleet.platform.store
-            store.write('progress0', 'u0', JOB, WRONG[name])
+            store.write('progress0', 'u0', JOB, MALFORMED[name])
             await trio.sleep(4)
             await submit(fleet, OTHER)
             await fleet.wait_done(OTHER)
@@ -529,17 +531,17 @@
 # -- models -------------------------------------------------------------------
 
 
-MODELS = {
-    **WRONG,
+INVALID_MODELS = {
+    **MALFORMED,
     'rows too long': b'{"pairs":{"a":{"means":{"b":1},"covariances":[[1,2]]}}}',
     'too many rows': b'{"pairs":{"a":{"means":{},"covariances":[[1]]}}}',
-    'known for sure': b'{"pairs":{"a":{"means":{"b":1},"covariances":[[0]]}}}',
-    'below none': b'{"pairs":{"a":{"means":{"b":1},"covariances":[[-1]]}}}',
+    'variance of 0': b'{"pairs":{"a":{"means":{"b":1},"covariances":[[0]]}}}',
+    'variance < 0': b'{"pairs":{"a":{"means":{"b":1},"covariances":[[-1]]}}}',
     'infinite': b'{"pairs":{"a":{"means":{"b":1e999}}}}',
-    'no number': b'{"pairs":{"a":{"means":{"b":NaN}}}}',
+    'not a number': b'{"pairs":{"a":{"means":{"b":NaN}}}}',
     'large': b'{"pairs":{"a":{"means":{"b":1e300}}}}',
-    'samples below none': b'{"pairs":{"a":{"sample_counts":{"b":-1}}}}',
-    'time below none': b'{"run_times_ms":{"q":-5}}',
+    'negative sample count': b'{"pairs":{"a":{"sample_counts":{"b":-1}}}}',
+    'negative time': b'{"run_times_ms":{"q":-5}}',
     'tail is infinite': b'{"lowest_tails_ms":{"a":1e999}}',
     'period is infinite': b'{"swings":{"period_ms":1e308}}',
     'wave is short': b'{"swings":{"period_ms":9000,"waves":{"a":[1]}}}',
@@ -547,14 +549,14 @@
 }
 
 
-@pytest.mark.parametrize('name', sorted(MODELS))
-def test_wrong_model_teaches_nothing(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(INVALID_MODELS))
+def test_invalid_model_is_ignored(run_virtual, name):
     async def run():
         async with open_fleet() as fleet:
             store = fleet.platform.store
             fleet.kill(fleet.get_owner())
-            store.write('models', 'u0', 'model', MODELS[name])
-            store.write('models', 'u1', 'model', MODELS[name])
+            store.write('models', 'u0', 'model', INVALID_MODELS[name])
+            store.write('models', 'u1', 'model', INVALID_MODELS[name])
             await fleet.wait_owner()
             await submit(fleet, JOB)
             await fleet.wait_done(JOB)
@@ -572,8 +574,8 @@
             store = fleet.platform.store
             fleet.kill(fleet.get_owner())
             store.write('models', 'u0', 'a', b'{')
-            good = b'{"pairs":{"a":{"means":{"b":1.0},"covariances":[[0.5]]}}}'
-            store.write('models', 'u0', 'model', good)
+            valid = b'{"pairs":{"a":{"means":{"b":1.0},"covariances":[[0.5]]}}}'
+            store.write('models', 'u0', 'model', valid)
             await fleet.wait_owner()
             owner = fleet.instances[fleet.get_owner()]
             assert owner.state.model.images['a'].means == {'b': 1.0}
--- a/tests/tulippin/jobs/test_kept_model_review.py
+++ b/tests/tulippin/jobs/test_kept_model_review.py
@@ -1,10 +1,8 @@
-"""What a unit has learned is kept in a form that holds it.
+"""Persisted models keep small variances and are not replaced by empty ones.
 
-What users would have seen: a new owner that knows nothing, as the row of the
-last one is refused by its readers.
-
-Cause: variances were kept with five decimal places, and the least that the
-model may hold has six.
+Guards against a new owner without a model because its predecessor's row is
+rejected: variances were persisted with five decimal places, but the minimum
+variance of a model needs six.
 """
 
 from tulippin.codec_json import encode
@@ -23,18 +21,18 @@
 from tulippin.jobs.state import Phase
 
 
-def keep(state):
+def persist_and_read(state):
     value = encode(_memory.make_record(state))
     row = StoredRow(MODELS_TABLE, 'u0', MODEL_KEY, value, 3)
     return read_record(row, ModelRecord)
 
 
-def test_least_variance_is_kept():
+def test_minimum_variance_is_persisted():
     state = make_state(SchedulerConfig('i', 'i:1'))
     state.model.images['web'] = ImageModel(
         {'batch': 0.02}, {('batch', 'batch'): LEAST_VARIANCE}, {'batch': 900}
     )
-    record = keep(state)
+    record = persist_and_read(state)
     assert record is not None
     restored = make_state(state.config)
     _memory.restore(record, restored)
@@ -42,8 +40,8 @@
     assert model.get_covariance('batch', 'batch') >= LEAST_VARIANCE
 
 
-def test_variance_stays_above_its_floor_however_it_is_learned():
-    """Samples as no worker has, past the guard that refuses them."""
+def test_variance_stays_above_its_minimum_for_any_samples():
+    """Samples with impossible exposures, which would be rejected earlier."""
     state = make_state(SchedulerConfig('i', 'i:1'))
     for _ in range(200):
         state.model.learn('web', {'batch': 20_000.0}, 0.1)
@@ -51,7 +49,7 @@
     model = state.model.images['web']
     for image in ('batch', 'other'):
         assert model.get_covariance(image, image) >= LEAST_VARIANCE
-    assert keep(state) is not None
+    assert persist_and_read(state) is not None
 
 
 def release(advice_after_ms):
@@ -66,7 +64,7 @@
     return effect.model
 
 
-def test_owner_that_took_nothing_in_writes_nothing_over_what_was_kept():
-    """Left out after failures, the last owner's model is not read at all."""
+def test_owner_with_paused_learning_does_not_overwrite_the_model():
+    """While advisory inputs are paused, the last model has not been read."""
     assert release(advice_after_ms=60_000) is None
     assert release(advice_after_ms=0) == ModelRecord()
--- a/tests/tulippin/jobs/test_kept_models.py
+++ b/tests/tulippin/jobs/test_kept_models.py
@@ -1,11 +1,9 @@
-"""What owners learn, kept in a row and read back.
-
-What users saw: instances ended one after the other, some 5 s after each
-start, with a division by zero. In which order: an owner learned a variance
-of 2e-11, rounded it to five decimal places, and kept 0; each owner of
-another unit read the row and divided by it, and after each start again, as
-the row outlived them all. Cause: the form in which a figure was kept did
-not hold it, and nobody looked at a row before it was written.
+"""Learned models are persisted in a row and read back unchanged.
+
+Guards against instances that crash one after the other with a division by
+zero, some 5 s after each start: an owner learned a variance of 2e-11 and
+persisted it as 0, rounded to five decimal places, and the owners of other
+units divided by it. Rows were not validated before they were written.
 """
 
 import logbook
@@ -27,14 +25,14 @@
 IMAGES = tuple(f'image-{number}' for number in range(8))
 SERVING = ('web', 'api')
 NOW_MS = 100_000
-# Wall clock less the steady one, of two instances.
+# Offsets of the wall clock to the steady clock, of two instances.
 WALL_OFFSET_MS = 1_764_000_000_000
 OTHER_OFFSET_MS = 1_763_999_123_456
-# What is told of an excess or a spread is compared with limits that are
-# themselves known to some hundredths of it.
-TOLERATED = 1e-4
-# A unit has some ten images, and its row some 10 KB.
-MOST_ROW_BYTES = 16_000
+# Relative error of persisted values: excess and spread are compared with
+# limits that are only known to some hundredths of their value.
+TOLERANCE = 1e-4
+# A unit has about ten images, and its row about 10 KB.
+MAX_ROW_BYTES = 16_000
 
 exposures = st.dictionaries(
     st.sampled_from(IMAGES),
@@ -48,15 +46,15 @@
     st.one_of(st.floats(0, 1), st.floats(0, 100)),
     st.booleans(),
 )
-# A few samples, over and over: what an owner sees for as long as the same
-# tasks run side by side.
-lessons = st.tuples(
+# A few samples, repeated: what an owner observes while the same tasks run
+# side by side.
+sample_runs = st.tuples(
     st.lists(samples, min_size=1, max_size=8), st.integers(1, 60)
 )
 
 
-def teach(state, lesson):
-    seen, times = lesson
+def add_samples(state, sample_run):
+    seen, times = sample_run
     for _ in range(times):
         for serving_image, exposure, excess, is_bound in seen:
             state.model.learn(
@@ -72,7 +70,7 @@
 
 
 def hand_over(state):
-    """Return the next owner's state, by what is kept."""
+    """Return the state of the next owner, restored from the record."""
     record = decode(encode(make_record(state)), ModelRecord)
     assert find_fault(record) == ''
     successor = make_owner('i:2', OTHER_OFFSET_MS)
@@ -121,39 +119,38 @@
     }
 
 
-@given(lessons)
-def test_what_is_learned_reads_back(lesson):
+@given(sample_runs)
+def test_learned_pairs_read_back(sample_run):
     state = make_owner()
-    teach(state, lesson)
+    add_samples(state, sample_run)
     successor = hand_over(state)
     for pair in iter_pairs():
         weight = state.model.get_weight(*pair)
         spread = state.model.get_spread(*pair)
         assert successor.model.get_weight(*pair) == pytest.approx(
-            weight, rel=TOLERATED
+            weight, rel=TOLERANCE
         )
         assert successor.model.get_spread(*pair) == pytest.approx(
-            spread, rel=TOLERATED
+            spread, rel=TOLERANCE
         )
     assert successor.model.count_samples() == state.model.count_samples()
 
 
-@given(lessons)
-def test_next_owner_expects_the_same_harm(lesson):
+@given(sample_runs)
+def test_next_owner_predicts_the_same_harm(sample_run):
     state = make_owner()
-    teach(state, lesson)
-    told = get_harms(hand_over(state))
+    add_samples(state, sample_run)
+    restored = get_harms(hand_over(state))
     for image, harm in get_harms(state).items():
-        if harm is None or told[image] is None:
-            # The slack of these tasks is some tenths; so much away from it
-            # both sides of the limit are right.
-            assert harm == told[image] or is_at_limit(state, image)
+        if harm is None or restored[image] is None:
+            # Close to the slack of some tenths either answer is right.
+            assert harm == restored[image] or is_at_slack_limit(state, image)
             continue
-        assert told[image] == pytest.approx(harm, rel=0.01, abs=TOLERATED)
+        assert restored[image] == pytest.approx(harm, rel=0.01, abs=TOLERANCE)
 
 
-def is_at_limit(state, image):
-    """Whether an image's harm is as large as what is left, or nearly."""
+def is_at_slack_limit(state, image):
+    """Whether an image's bound is within 1% of the slack of some image."""
     worker = state.workers['w']
     share = 0.1
     return any(
@@ -165,39 +162,39 @@
     )
 
 
-@given(lessons, lessons)
-def test_next_owner_learns_on_soundly(lesson, later):
+@given(sample_runs, sample_runs)
+def test_next_owner_continues_to_learn(sample_run, later):
     state = make_owner()
-    teach(state, lesson)
+    add_samples(state, sample_run)
     successor = hand_over(state)
-    teach(successor, later)
+    add_samples(successor, later)
     again = hand_over(successor)
     for pair in iter_pairs():
         assert again.model.get_spread(*pair) > 0
 
 
-@given(lessons)
-def test_others_hear_what_is_kept(lesson):
+@given(sample_runs)
+def test_persisted_and_live_models_give_peers_the_same_bounds(sample_run):
     state = make_owner()
-    teach(state, lesson)
-    told = hand_over(state)
-    hearing, reading = PairModel(), PairModel()
-    hearing.hear([state.model.images])
-    reading.hear([told.model.images])
+    add_samples(state, sample_run)
+    restored = hand_over(state)
+    live, persisted = PairModel(), PairModel()
+    live.hear([state.model.images])
+    persisted.hear([restored.model.images])
     for pair in iter_pairs():
-        assert reading.get_bound(*pair) == pytest.approx(
-            hearing.get_bound(*pair), rel=TOLERATED, abs=TOLERATED
+        assert persisted.get_bound(*pair) == pytest.approx(
+            live.get_bound(*pair), rel=TOLERANCE, abs=TOLERANCE
         )
 
 
 @pytest.mark.parametrize('variance', [1.6e-5, 4.4e-6, 2e-6, 1.1e-6])
-def test_small_variance_is_kept(variance):
+def test_small_variance_is_persisted(variance):
     state = make_owner()
-    teach(state, ([('web', {'image-0': 1.0}, 0.0, False)], 1))
+    add_samples(state, ([('web', {'image-0': 1.0}, 0.0, False)], 1))
     model = state.model.images['web']
     model.covariances['image-0', 'image-0'] = variance
     spread = hand_over(state).model.get_spread('web', 'image-0')
-    assert spread == pytest.approx(variance**0.5, rel=TOLERATED)
+    assert spread == pytest.approx(variance**0.5, rel=TOLERANCE)
 
 
 def test_row_of_ten_images_is_small():
@@ -209,11 +206,11 @@
                 for one in range(number, number + 3)
             }
             state.model.learn(serving_image, exposure, number % 5 / 10)
-    assert len(encode(make_record(state))) < MOST_ROW_BYTES
+    assert len(encode(make_record(state))) < MAX_ROW_BYTES
 
 
 def get_variance(model, weights):
-    """Return the variance of what some images add together."""
+    """Return the variance of the joint excess of some images."""
     return sum(
         model.get_covariance(one, other) * weight * other_weight
         for one, weight in weights.items()
@@ -222,16 +219,16 @@
 
 
 @pytest.mark.parametrize('times', [50, 200, 1000, 20_000])
-def test_sum_of_images_seen_together_is_kept_no_surer_than_it_is(times):
-    """Surprises leave open which of the two it is, and hardly their sum."""
+def test_variance_of_a_sum_is_not_persisted_too_small(times):
+    """Outliers leave the share of each of two images open, not their sum."""
     state = make_owner()
     both = {'image-0': 10.0, 'image-1': 9.0}
     for number in range(times):
         state.model.learn('web', both, 100.0 * (number % 2))
     kept = hand_over(state)
     known = get_variance(state.model.images['web'], both)
-    told = get_variance(kept.model.images['web'], both)
-    assert known <= told
+    restored = get_variance(kept.model.images['web'], both)
+    assert known <= restored
     kept.model.learn('web', both, 0.0)
     assert kept.model.get_spread('web', 'image-0') > 0
 
@@ -252,19 +249,19 @@
         _ranking.learn_run_time(job, run_ms, state)
     state.lowest_tails_ms = lowest_ms
     successor = hand_over(state)
-    assert successor.lowest_tails_ms == pytest.approx(lowest_ms, rel=TOLERATED)
+    assert successor.lowest_tails_ms == pytest.approx(lowest_ms, rel=TOLERANCE)
     for name in ('urgent', 'usual'):
-        # 0 is as good as not known, and so is what was not told.
+        # Times of 0 and missing ones are both unknown.
         assert successor.run_times_ms.get(name, 0.0) == pytest.approx(
-            state.run_times_ms.get(name, 0.0), rel=TOLERATED, abs=0.001
+            state.run_times_ms.get(name, 0.0), rel=TOLERANCE, abs=0.001
         )
 
 
-# -- what can't be kept --------------------------------------------------------
+# -- invalid parts ------------------------------------------------------------
 
 
-def test_what_nobody_can_learn_is_told_and_not_written():
-    """An owner that learned from a worker of no size kept what none reads."""
+def test_invalid_parts_are_logged_and_not_written():
+    """Such values were learned from a worker with a capacity of 0."""
     state = make_owner()
     state.model.learn('web', {'image-0': 2.0}, 0.5)
     state.model.images['web'].covariances['image-0', 'image-0'] = 2e-11
@@ -283,7 +280,7 @@
     ]
 
 
-# -- swings -------------------------------------------------------------------
+# -- load cycles --------------------------------------------------------------
 
 JOBS = ('job-a', 'job-b', 'job-c')
 loads = st.lists(
@@ -300,30 +297,30 @@
 
 @settings(max_examples=40)
 @given(loads, st.integers(0, 47), st.booleans())
-def test_swings_read_back(seen, period, is_chosen):
+def test_load_cycles_read_back(seen, period, is_fitted):
     state = make_owner()
     at_ms = 1000
     for job_id, after_ms, load, weight in seen:
         at_ms += after_ms
         state.swings.learn(job_id, at_ms, load, weight)
     state.swings.choose_period(at_ms)
-    if not is_chosen:
+    if not is_fitted:
         state.swings.period_index = period
     state.now_ms = at_ms
     successor = hand_over(state)
     for job_id in JOBS:
         for ahead_ms in (0, 700, 5000):
-            told = successor.swings.predict_load(
+            restored = successor.swings.predict_load(
                 job_id, at_ms + WALL_OFFSET_MS - OTHER_OFFSET_MS + ahead_ms
             )
             known = state.swings.predict_load(job_id, at_ms + ahead_ms)
             if known is None:
-                assert told is None
+                assert restored is None
             else:
-                assert told == pytest.approx(known, rel=1e-3, abs=1e-3)
+                assert restored == pytest.approx(known, rel=1e-3, abs=1e-3)
 
 
-def test_unit_without_a_common_period_keeps_no_swings():
+def test_load_cycles_without_a_common_period_are_not_persisted():
     state = make_owner()
     state.swings.learn('job-a', NOW_MS, 0.5, 1.0)
     record = make_record(state)
--- a/tests/tulippin/jobs/test_layout.py
+++ b/tests/tulippin/jobs/test_layout.py
@@ -1,4 +1,4 @@
-"""Racks divided into units."""
+"""Division of racks into units."""
 
 import collections
 
@@ -38,16 +38,16 @@
     return collections.Counter(layout.racks[entry.rack] for entry in workers)
 
 
-def test_few_workers_are_one_unit():
+def test_few_workers_form_one_unit():
     workers = make_workers(SINGLE_UNIT_WORKERS)
     assert make_layout(workers).unit_numbers == (0,)
 
 
-def test_no_worker_is_one_unit_too():
+def test_layout_without_workers_has_one_unit():
     assert make_layout([]).unit_numbers == (0,)
 
 
-def test_many_workers_are_even_units_of_one_domain_each():
+def test_many_workers_form_even_units_within_failure_domains():
     workers = make_workers(246)
     layout = make_layout(workers)
     sizes = count_by_unit(layout, workers)
@@ -58,17 +58,18 @@
     assert all(layout.failure_domains.values())
 
 
-EVEN = 1.3
-# Whole racks of these sizes do not add up to more even units.
-UNEVEN = {15: 1.5, 16: 1.35, 30: 1.5}
+# Maximum ratio of the largest to the smallest unit, and exceptions by size of
+# rack where whole racks do not add up to more even units.
+MAX_RATIO = 1.3
+MAX_RATIO_EXCEPTIONS = {15: 1.5, 16: 1.35, 30: 1.5}
 
 
 @pytest.mark.parametrize('per_rack', [5, 8, 10, 12, 15, 16, 20, 25, 30, 40])
-def test_units_of_a_large_layout_are_even_at_any_size_of_rack(per_rack):
-    """Six failure domains of 74 or 75 workers, the last rack of each short.
+def test_units_are_even_for_any_rack_size(per_rack):
+    """Six failure domains of 74 or 75 workers, each with a smaller last rack.
 
-    With racks of 20, one unit of each domain had twice the workers of the
-    others: largest over smallest 2.1, now 1.2.
+    Guards against a unit with twice the workers of the others: with racks of
+    20 the ratio of the largest to the smallest unit was 2.1 instead of 1.2.
     """
     workers = [
         entry
@@ -77,19 +78,19 @@
     ]
     layout = make_layout(workers)
     sizes = count_by_unit(layout, workers)
-    most = UNEVEN.get(per_rack, EVEN)
-    assert max(sizes.values()) <= most * min(sizes.values())
+    max_ratio = MAX_RATIO_EXCEPTIONS.get(per_rack, MAX_RATIO)
+    assert max(sizes.values()) <= max_ratio * min(sizes.values())
     assert max(sizes.values()) <= MAX_UNIT_WORKERS
     assert min(sizes.values()) >= UNIT_WORKERS / 2
 
 
-def test_rack_larger_than_any_unit_is_a_unit_of_its_own():
+def test_oversized_rack_forms_its_own_unit():
     workers = make_workers(180, per_rack=60)
     layout = make_layout(workers)
     assert sorted(count_by_unit(layout, workers).values()) == [60, 60, 60]
 
 
-def test_number_of_units_follows_the_workers():
+def test_number_of_units_grows_with_workers():
     for count in (150, 500, 1100):
         workers = make_workers(count, per_rack=10)
         units = len(make_layout(workers).unit_numbers)
@@ -106,14 +107,14 @@
     assert {entry.rack for entry in more} <= set(extended.racks)
 
 
-def test_new_rack_joins_a_small_unit_before_it_begins_one():
+def test_new_rack_joins_a_small_unit():
     workers = make_workers(8, per_rack=8, domains=('a',))
     layout = make_layout(workers)
     more = [*workers, *make_workers(8, per_rack=8, domains=('b',))]
     assert extend_layout(layout, more).unit_numbers == (0,)
 
 
-def test_workers_of_a_site_that_grows_get_units_of_their_own():
+def test_growing_site_gets_additional_units():
     layout = make_layout(make_workers(24, per_rack=8))
     grown = make_workers(200, per_rack=8)
     sizes = count_by_unit(extend_layout(layout, grown), grown)
--- a/tests/tulippin/jobs/test_model_checks.py
+++ b/tests/tulippin/jobs/test_model_checks.py
@@ -1,9 +1,8 @@
-"""Kept models that nobody can have learned.
+"""Invalid parts of persisted models are dropped, each with a reason.
 
-What users saw: instances ended one after the other, at each start again. One
-row that only advises held a figure that all owners divided by: a variance of
-0, or the least tail of an image of 0 ms, which passed as a time. What is
-refused here is refused with its reason, and costs that part alone.
+Guards against instances that crash one after the other, and again after each
+restart: a row with an advisory model held a value of 0 by which every owner
+divided, such as a variance or the lowest tail of an image.
 """
 
 import math
@@ -43,70 +42,74 @@
 from tulippin.jobs.types import JobState, Step, TaskKey, WorkerEntry
 from tulippin.types import Resources
 
-SOUND = PairRecord(
+VALID_PAIR = PairRecord(
     {'a': 0.1, 'b': 0.2}, [[0.01, -0.005], [0.01]], {'a': 3, 'b': 2}
 )
-WAVES = SwingRecord(14_000, 0.5, {'job': (0.5, 0.1, -0.2)})
+VALID_CYCLES = SwingRecord(14_000, 0.5, {'job': (0.5, 0.1, -0.2)})
 MODEL = ModelRecord(
-    {'web': SOUND, 'api': SOUND},
+    {'web': VALID_PAIR, 'api': VALID_PAIR},
     {'web': 9.5, 'api': 20.0},
     {'urgent': 900.0, 'usual': 2100.0},
-    WAVES,
+    VALID_CYCLES,
 )
-TOO_SURE = [0.0, -1.0, -1e-9, 2e-11, 1e-320, 5e-324]
-TOO_MUCH = [1e308, -1e308, 1e9, -1e9]
+TOO_SMALL = [0.0, -1.0, -1e-9, 2e-11, 1e-320, 5e-324]
+TOO_LARGE = [1e308, -1e308, 1e9, -1e9]
 
 
-def change(**fields):
-    return attrs.evolve(SOUND, **fields)
+def change_pair(**fields):
+    return attrs.evolve(VALID_PAIR, **fields)
 
 
-PAIRS = {
+INVALID_PAIRS = {
     **{
-        f'variance of {value}': change(covariances=[[value, 0.0], [0.01]])
-        for value in (*TOO_SURE, *TOO_MUCH)
+        f'variance of {value}': change_pair(covariances=[[value, 0.0], [0.01]])
+        for value in (*TOO_SMALL, *TOO_LARGE)
     },
     **{
-        f'last variance of {value}': change(covariances=[[0.01, 0.0], [value]])
-        for value in (*TOO_SURE, *TOO_MUCH)
+        f'last variance of {value}': change_pair(
+            covariances=[[0.01, 0.0], [value]]
+        )
+        for value in (*TOO_SMALL, *TOO_LARGE)
     },
     **{
-        f'covariance of {value}': change(covariances=[[0.01, value], [0.01]])
-        for value in (0.01, -0.01, 0.02, 0.1, *TOO_MUCH)
+        f'covariance of {value}': change_pair(
+            covariances=[[0.01, value], [0.01]]
+        )
+        for value in (0.01, -0.01, 0.02, 0.1, *TOO_LARGE)
     },
     **{
-        f'mean of {value}': change(means={'a': value, 'b': 0.1})
-        for value in TOO_MUCH
+        f'mean of {value}': change_pair(means={'a': value, 'b': 0.1})
+        for value in TOO_LARGE
     },
-    'sum that is known for sure': PairRecord(
+    'sum with a variance of 0': PairRecord(
         dict.fromkeys('abc', 0.1),
         [[0.01, -0.005, -0.005], [0.01, -0.005], [0.01]],
     ),
-    'sum surer than sure': PairRecord(
+    'sum with a negative variance': PairRecord(
         dict.fromkeys('abc', 0.1),
         [[0.01, -0.006, -0.006], [0.01, -0.006], [0.01]],
     ),
-    'no covariances': change(covariances=[]),
-    'a row too few': change(covariances=[[0.01, 0.0]]),
-    'a row too many': change(covariances=[[0.01, 0.0], [0.01], [0.01]]),
-    'rows too long': change(covariances=[[0.01, 0.0], [0.01, 0.0]]),
-    'empty rows': change(covariances=[[], []]),
-    'count of no image': change(sample_counts={'c': 1}),
-    'count below none': change(sample_counts={'a': -1}),
-    'count without end': change(sample_counts={'a': 10**30}),
+    'no covariances': change_pair(covariances=[]),
+    'one row too few': change_pair(covariances=[[0.01, 0.0]]),
+    'one row too many': change_pair(covariances=[[0.01, 0.0], [0.01], [0.01]]),
+    'rows too long': change_pair(covariances=[[0.01, 0.0], [0.01, 0.0]]),
+    'empty rows': change_pair(covariances=[[], []]),
+    'count without a mean': change_pair(sample_counts={'c': 1}),
+    'negative count': change_pair(sample_counts={'a': -1}),
+    'excessive count': change_pair(sample_counts={'a': 10**30}),
 }
-TIMES = [0.0, -0.0, -1.0, 1e-320, 5e-324, 1e-6, 1e308, 1e10]
-SWINGS = {
+INVALID_TIMES = [0.0, -0.0, -1.0, 1e-320, 5e-324, 1e-6, 1e308, 1e10]
+INVALID_CYCLES = {
     **{
-        f'period of {value}': attrs.evolve(WAVES, period_ms=value)
-        for value in (-1.0, 1e-320, 1.0, 3000.0, 60_000.0, *TOO_MUCH)
+        f'period of {value}': attrs.evolve(VALID_CYCLES, period_ms=value)
+        for value in (-1.0, 1e-320, 1.0, 3000.0, 60_000.0, *TOO_LARGE)
     },
     **{
-        f'mean of {value}': attrs.evolve(WAVES, mean=value)
-        for value in TOO_MUCH
+        f'mean of {value}': attrs.evolve(VALID_CYCLES, mean=value)
+        for value in TOO_LARGE
     },
 }
-WRONG_FORMS = [
+MALFORMED = [
     b'{"run_times_ms":{"q":NaN}}',
     b'{"run_times_ms":{"q":Infinity}}',
     b'{"run_times_ms":{"q":1e400}}',
@@ -121,63 +124,69 @@
 ]
 
 
-def test_sound_model_passes_whole():
+def test_valid_model_is_unchanged():
     assert drop_faults(MODEL) == (MODEL, ())
     assert find_fault(MODEL) == ''
     assert find_fault(ModelRecord()) == ''
 
 
-@pytest.mark.parametrize('name', sorted(PAIRS))
-def test_unsound_pair_costs_its_image_alone(name):
-    record = attrs.evolve(MODEL, pairs={'web': PAIRS[name], 'api': SOUND})
+@pytest.mark.parametrize('name', sorted(INVALID_PAIRS))
+def test_invalid_pair_drops_only_its_image(name):
+    record = attrs.evolve(
+        MODEL, pairs={'web': INVALID_PAIRS[name], 'api': VALID_PAIR}
+    )
     assert 'web' in find_fault(record)
     kept, faults = drop_faults(record)
-    assert kept == attrs.evolve(MODEL, pairs={'api': SOUND})
+    assert kept == attrs.evolve(MODEL, pairs={'api': VALID_PAIR})
     assert len(faults) == 1
 
 
 @pytest.mark.parametrize('field', ['lowest_tails_ms', 'run_times_ms'])
-@pytest.mark.parametrize('time_ms', TIMES)
-def test_time_that_is_none_costs_itself_alone(field, time_ms):
-    record = attrs.evolve(MODEL, **{field: {'odd': time_ms, 'even': 5.0}})
-    assert 'odd' in find_fault(record)
+@pytest.mark.parametrize('time_ms', INVALID_TIMES)
+def test_invalid_time_drops_only_itself(field, time_ms):
+    record = attrs.evolve(MODEL, **{field: {'bad': time_ms, 'good': 5.0}})
+    assert 'bad' in find_fault(record)
     kept, faults = drop_faults(record)
-    assert kept == attrs.evolve(MODEL, **{field: {'even': 5.0}})
+    assert kept == attrs.evolve(MODEL, **{field: {'good': 5.0}})
     assert len(faults) == 1
 
 
-@pytest.mark.parametrize('name', sorted(SWINGS))
-def test_swings_without_a_period_are_dropped(name):
-    record = attrs.evolve(MODEL, swings=SWINGS[name])
+@pytest.mark.parametrize('name', sorted(INVALID_CYCLES))
+def test_load_cycles_with_an_invalid_period_are_dropped(name):
+    record = attrs.evolve(MODEL, swings=INVALID_CYCLES[name])
     assert find_fault(record)
     kept, faults = drop_faults(record)
     assert kept == attrs.evolve(MODEL, swings=SwingRecord())
     assert len(faults) == 1
 
 
-@pytest.mark.parametrize('part', TOO_MUCH)
-def test_wave_that_is_none_costs_its_job_alone(part):
-    waves = {'odd': (0.5, part, 0.0), **WAVES.waves}
-    record = attrs.evolve(MODEL, swings=attrs.evolve(WAVES, waves=waves))
-    assert 'odd' in find_fault(record)
+@pytest.mark.parametrize('part', TOO_LARGE)
+def test_invalid_wave_drops_only_its_job(part):
+    waves = {'bad': (0.5, part, 0.0), **VALID_CYCLES.waves}
+    record = attrs.evolve(MODEL, swings=attrs.evolve(VALID_CYCLES, waves=waves))
+    assert 'bad' in find_fault(record)
     kept, faults = drop_faults(record)
     assert kept == MODEL
     assert len(faults) == 1
 
 
 @pytest.mark.parametrize('value', [float('nan'), float('inf'), -float('inf')])
-def test_what_is_no_number_is_never_kept(value):
-    """A row would hold it as nothing, which no reader takes at all."""
+def test_non_finite_values_are_never_persisted(value):
+    """JSON would encode them as null, which readers reject."""
     parts = [
-        {'pairs': {'web': change(means={'a': value, 'b': 0.1})}},
-        {'pairs': {'web': change(covariances=[[value, 0.0], [0.01]])}},
-        {'pairs': {'web': change(covariances=[[0.01, value], [0.01]])}},
-        {'pairs': {'web': change(covariances=[[0.01, 0.0], [value]])}},
+        {'pairs': {'web': change_pair(means={'a': value, 'b': 0.1})}},
+        {'pairs': {'web': change_pair(covariances=[[value, 0.0], [0.01]])}},
+        {'pairs': {'web': change_pair(covariances=[[0.01, value], [0.01]])}},
+        {'pairs': {'web': change_pair(covariances=[[0.01, 0.0], [value]])}},
         {'lowest_tails_ms': {'web': value}},
         {'run_times_ms': {'urgent': value}},
-        {'swings': attrs.evolve(WAVES, period_ms=value)},
-        {'swings': attrs.evolve(WAVES, mean=value)},
-        {'swings': attrs.evolve(WAVES, waves={'job': (value, 0.0, 0.0)})},
+        {'swings': attrs.evolve(VALID_CYCLES, period_ms=value)},
+        {'swings': attrs.evolve(VALID_CYCLES, mean=value)},
+        {
+            'swings': attrs.evolve(
+                VALID_CYCLES, waves={'job': (value, 0.0, 0.0)}
+            )
+        },
     ]
     for fields in parts:
         kept, faults = drop_faults(attrs.evolve(MODEL, **fields))
@@ -185,27 +194,27 @@
         assert decode(encode(kept), ModelRecord) == kept
 
 
-@pytest.mark.parametrize('body', WRONG_FORMS)
-def test_wrong_form_is_no_record(body):
+@pytest.mark.parametrize('body', MALFORMED)
+def test_malformed_record_is_rejected(body):
     with pytest.raises(InputError):
         decode(body, ModelRecord)
 
 
-# -- whatever passes does no harm ---------------------------------------------
+# -- any valid model can be used ----------------------------------------------
 
-figures = st.one_of(
+numbers = st.one_of(
     st.floats(),
     st.sampled_from([0.0, -0.0, 1e-320, 1e-6, 1e-3, 0.01, 1.0, 1e6, 1e9]),
     st.floats(-0.02, 0.02),
     st.floats(0, 20_000),
 )
-# With it the load of what is served is known, and is below 1.
-KNOWN_SWING = SwingRecord(14_000, 0.5, {'s': (0.5, 0.1, -0.2)})
+# Makes the load of the serving task known, and below 1.
+KNOWN_CYCLE = SwingRecord(14_000, 0.5, {'s': (0.5, 0.1, -0.2)})
 names = st.sampled_from(['a', 'b', 'c'])
 pairs = st.builds(
     PairRecord,
-    st.dictionaries(names, figures, max_size=3),
-    st.lists(st.lists(figures, max_size=3), max_size=3),
+    st.dictionaries(names, numbers, max_size=3),
+    st.lists(st.lists(numbers, max_size=3), max_size=3),
     st.dictionaries(names, st.integers(), max_size=3),
 )
 two_images = st.builds(
@@ -214,8 +223,8 @@
         [list(rows[:2]), [rows[2]]],
         dict(zip('ab', counts, strict=True)),
     ),
-    st.tuples(figures, figures),
-    st.tuples(figures, figures, figures),
+    st.tuples(numbers, numbers),
+    st.tuples(numbers, numbers, numbers),
     st.tuples(st.integers(0), st.integers(0)),
 )
 models = st.builds(
@@ -223,17 +232,17 @@
     st.dictionaries(
         st.sampled_from(['web', 'api']), st.one_of(pairs, two_images)
     ),
-    st.dictionaries(st.sampled_from(['web', 'api']), figures),
-    st.dictionaries(st.sampled_from(['urgent', 'usual']), figures),
+    st.dictionaries(st.sampled_from(['web', 'api']), numbers),
+    st.dictionaries(st.sampled_from(['urgent', 'usual']), numbers),
     st.one_of(
-        st.just(KNOWN_SWING),
+        st.just(KNOWN_CYCLE),
         st.builds(
             SwingRecord,
-            st.one_of(st.just(14_000.0), figures),
-            figures,
+            st.one_of(st.just(14_000.0), numbers),
+            numbers,
             st.dictionaries(
                 st.sampled_from(['s', 'other']),
-                st.tuples(figures, figures, figures),
+                st.tuples(numbers, numbers, numbers),
             ),
         ),
     ),
@@ -260,8 +269,8 @@
     return state, worker, filler
 
 
-def use(state, worker, filler):
-    """Have what is known decide, be learned from, and tell the harm."""
+def learn_and_predict(state, worker, filler):
+    """Learn from samples, and check predicted harm and estimates."""
     for _ in range(4):
         state.now_ms += 400
         state.tails['s'] = {
@@ -278,34 +287,34 @@
 
 
 @given(models)
-def test_whatever_passes_can_be_used_by_the_next_owner(record):
+def test_any_valid_model_can_be_used_by_the_next_owner(record):
     kept, faults = drop_faults(record)
     assert bool(faults) == bool(find_fault(record))
     assert find_fault(kept) == ''
     state, worker, filler = make_owner()
     restore(kept, state)
-    use(state, worker, filler)
+    learn_and_predict(state, worker, filler)
 
 
 @given(models)
-def test_whatever_passes_can_be_used_by_other_owners(record):
+def test_any_valid_model_can_be_used_by_other_owners(record):
     kept, _ = drop_faults(record)
     state, worker, filler = make_owner()
-    restore(ModelRecord(swings=KNOWN_SWING), state)
+    restore(ModelRecord(swings=KNOWN_CYCLE), state)
     event = ModelsSeen(
         state.now_ms, (kept, MODEL), ('models/u1/model@1', 'models/u2/model@1')
     )
     core.reduce(state, event)
-    use(state, worker, filler)
+    learn_and_predict(state, worker, filler)
 
 
-# -- what else is there -------------------------------------------------------
+# -- rows ---------------------------------------------------------------------
 
 
-def test_one_odd_figure_costs_one_image_of_a_row():
-    """One figure cost the next owner all that its unit had learned."""
-    odd = change(covariances=[[0.0, 0.0], [0.01]])
-    record = attrs.evolve(MODEL, pairs={'web': odd, 'api': SOUND})
+def test_invalid_value_drops_one_image_of_a_row():
+    """Guards against a fault that dropped the whole model of a unit."""
+    invalid = change_pair(covariances=[[0.0, 0.0], [0.01]])
+    record = attrs.evolve(MODEL, pairs={'web': invalid, 'api': VALID_PAIR})
     kept, faults = _row_checks.drop_faults(decode(encode(record), ModelRecord))
     assert len(faults) == 1
     state = make_state(SchedulerConfig('i', 'i:1'))
@@ -316,24 +325,24 @@
     assert list(state.swings.swings) == ['job']
 
 
-def test_record_that_is_essential_counts_as_a_whole():
-    """A part that is left out of a roster would be a worker not asked."""
+def test_non_advisory_records_are_not_changed():
+    """A worker dropped from a roster would not be called by the next owner."""
     roster = RosterRecord({'w0': 'a:80'})
     assert _row_checks.drop_faults(roster) == (roster, ())
     progress = ProgressRecord(JobState.RUNNING, {'0.9': 'f'})
     assert _row_checks.drop_faults(progress) == (progress, ())
 
 
-def test_odd_images_of_a_row_cost_themselves_alone():
-    """One odd figure once cost all that a unit had learned."""
-    odd = change(covariances=[[0.0, 0.0], [0.01]])
-    pairs = {f'odd-{number}': odd for number in range(20)}
-    record = attrs.evolve(MODEL, pairs={**pairs, 'web': SOUND})
+def test_invalid_images_of_a_row_drop_only_themselves():
+    """Each dropped part is logged, up to a limit, with the row's version."""
+    invalid = change_pair(covariances=[[0.0, 0.0], [0.01]])
+    pairs = {f'bad-{number}': invalid for number in range(20)}
+    record = attrs.evolve(MODEL, pairs={**pairs, 'web': VALID_PAIR})
     row = StoredRow(MODELS_TABLE, 'u1', MODEL_KEY, encode(record), 7)
     with logbook.TestHandler() as handler:
         kept = read_record(row, ModelRecord)
-    assert kept == attrs.evolve(MODEL, pairs={'web': SOUND})
-    told = {one.message for one in handler.records}
-    assert told == {'row part unreadable'}
+    assert kept == attrs.evolve(MODEL, pairs={'web': VALID_PAIR})
+    messages = {one.message for one in handler.records}
+    assert messages == {'row part unreadable'}
     assert 0 < len(handler.records) <= 10
     assert all(one.kwargs['version'] == 7 for one in handler.records)
--- a/tests/tulippin/jobs/test_odd_reports.py
+++ b/tests/tulippin/jobs/test_odd_reports.py
@@ -1,10 +1,10 @@
-"""Workers that report what no worker can, or are listed as none can be.
+"""Invalid worker reports and list entries must not stop an owner.
 
-A worker that listed the end of a task that its job has not, of an occurrence
-past the last or with a negative index, ended its owner: the task was looked
-up by its number. The end stays in the worker's list until it is noted, so
-that each next owner met it too. Loads and tails of 1e308, below zero or of
-1e-320 went into sums, logarithms and what is learned of images.
+Guards against an owner that crashes when a worker reports the end of a task
+that its job does not have, such as one with a negative index, and looks it up.
+The worker keeps such an end until it is acknowledged, so every next owner
+crashed as well. Loads of 1e308, 1e-320 or below zero got into sums, logarithms
+and the learned model.
 """
 
 import contextlib
@@ -53,7 +53,7 @@
 
 NOW_MS = 100_000
 JOB = '00000000000000aa'
-HUGE = 10**400
+HUGE_NUMBER = 10**400
 SERVING, FILLER, BATCH, GANG = range(4)
 STEPS = (
     Step(2, Resources(2000, 10), long_running=True, image='a', target_ms=50),
@@ -65,8 +65,8 @@
 
 
 @attrs.define
-class CannedClient:
-    """Answers every order with the same report."""
+class FixedAnswerClient:
+    """Answers every call with the same report."""
 
     answer: dict
 
@@ -74,9 +74,9 @@
         return HttpAnswer(200, {}, json.dumps(self.answer).encode())
 
 
-def hear(running=(), ended=(), clock_ms=NOW_MS, workers=None):
-    """Return a worker's report as it is read from its answer."""
-    client = CannedClient(
+def read_report(running=(), ended=(), clock_ms=NOW_MS, workers=None):
+    """Return a worker's report as decoded from its answer."""
+    client = FixedAnswerClient(
         {'ClockMs': clock_ms, 'RunningCount': running, 'EndedAt': ended}
     )
     workers = workers or PlatformWorkers(lambda: client)
@@ -118,14 +118,14 @@
     state.jobs[JOB] = job
 
 
-def name(occurrence=0, step=SERVING, index=0):
+def make_name(occurrence=0, step=SERVING, index=0):
     return TaskKey(JOB, occurrence, step, index).format()
 
 
-def report(state, worker_id, heard):
+def deliver_report(state, worker_id, worker_report):
     state.now_ms += 400
     answered = ev.WorkerAnswered(
-        state.now_ms, worker_id, state.now_ms - 10, heard
+        state.now_ms, worker_id, state.now_ms - 10, worker_report
     )
     effects = list(core.reduce(state, answered))
     effects += core.reduce(state, ev.Ticked(state.now_ms, state.now_ms))
@@ -136,20 +136,20 @@
     return [effect.key for effect in effects if isinstance(effect, fx.StopRun)]
 
 
-def check_kept(state):
-    """What is kept of the job can be read by its next owner."""
+def check_persisted(state):
+    """Check that the next owner can read the job's progress and the model."""
     job = state.jobs[JOB]
     assert not find_progress_fault(make_progress(job), job.request)
     assert not find_fault(make_record(state))
 
 
-NO_TASKS = {
-    'occurrence past the last': (2, 0, 0),
+MISSING_TASKS = {
+    'occurrence out of range': (2, 0, 0),
     'huge occurrence': (10**9, 0, 0),
     'negative occurrence': (-1, 0, 0),
-    'step past the last': (0, 4, 0),
+    'step out of range': (0, 4, 0),
     'negative step': (0, -1, 0),
-    'index past the last': (0, 0, 2),
+    'index out of range': (0, 0, 2),
     'huge index': (0, 0, 10**12),
     'negative index': (0, 0, -1),
 }
@@ -157,86 +157,92 @@
 
 
 @pytest.mark.parametrize('outcome', OUTCOMES)
-@pytest.mark.parametrize('place', sorted(NO_TASKS))
-def test_end_of_a_task_that_its_job_has_not(place, outcome):
-    """It is noted, so that its worker forgets it, and changes no job."""
+@pytest.mark.parametrize('case', sorted(MISSING_TASKS))
+def test_end_of_a_missing_task_is_acknowledged(case, outcome):
+    """It is acknowledged, so that its worker drops it, and changes no job."""
     state = make_owner()
     before = make_progress(state.jobs[JOB])
-    ended = [(1, name(*NO_TASKS[place]), 1, outcome, '')]
-    report(state, 'w0', hear(ended=ended))
+    ended = [(1, make_name(*MISSING_TASKS[case]), 1, outcome, '')]
+    deliver_report(state, 'w0', read_report(ended=ended))
     assert state.workers['w0'].ends_read == 1
     assert make_progress(state.jobs[JOB]) == before
     assert len(state.jobs[JOB].tasks) == 2 * len(STEPS) * TASK_COUNT
-    check_kept(state)
+    check_persisted(state)
 
 
-@pytest.mark.parametrize('place', sorted(NO_TASKS))
-def test_run_of_a_task_that_its_job_has_not_is_stopped(place):
+@pytest.mark.parametrize('case', sorted(MISSING_TASKS))
+def test_run_of_a_missing_task_is_stopped(case):
     state = make_owner()
-    row = (name(*NO_TASKS[place]), 1, '', 0, 0)
-    effects = report(state, 'w0', hear([row]))
-    assert TaskKey(JOB, *NO_TASKS[place]) in list_stopped(effects)
+    row = (make_name(*MISSING_TASKS[case]), 1, '', 0, 0)
+    effects = deliver_report(state, 'w0', read_report([row]))
+    assert TaskKey(JOB, *MISSING_TASKS[case]) in list_stopped(effects)
     assert len(state.jobs[JOB].tasks) == 2 * len(STEPS) * TASK_COUNT
-    check_kept(state)
+    check_persisted(state)
 
 
-@pytest.mark.parametrize('place', sorted(NO_TASKS))
-def test_early_end_of_a_task_that_its_job_has_not(place):
-    """It was met before its job, which then comes."""
+@pytest.mark.parametrize('case', sorted(MISSING_TASKS))
+def test_deferred_end_of_a_missing_task_changes_nothing(case):
+    """The end is reported before its job is received."""
     state = make_owner()
     job = state.jobs.pop(JOB)
-    ended = [(1, name(*NO_TASKS[place]), 1, 'done', '')]
-    report(state, 'w0', hear(ended=ended))
+    ended = [(1, make_name(*MISSING_TASKS[case]), 1, 'done', '')]
+    deliver_report(state, 'w0', read_report(ended=ended))
     state.jobs[JOB] = job
 
     adopt_strays(job, Context(state))
     assert len(job.tasks) == 2 * len(STEPS) * TASK_COUNT
-    check_kept(state)
+    check_persisted(state)
 
 
-@pytest.mark.parametrize('load', [-1, -1e308, 1e10, 1e308, -HUGE, HUGE])
-def test_load_of_no_worker_is_not_known_and_told_once(load):
-    row = (name(), 1, '', 100, load)
+@pytest.mark.parametrize(
+    'load', [-1, -1e308, 1e10, 1e308, -HUGE_NUMBER, HUGE_NUMBER]
+)
+def test_invalid_load_is_unknown_and_logged_once(load):
+    row = (make_name(), 1, '', 100, load)
     workers = PlatformWorkers(None)
     with logbook.TestHandler() as lines:
         for _ in range(3):
-            heard = hear([row], workers=workers)
-            assert heard.running[0].load is None
-    told = [one for one in lines.records if one.message == 'load unusable']
-    assert [one.kwargs['worker'] for one in told] == ['w0']
+            worker_report = read_report([row], workers=workers)
+            assert worker_report.running[0].load is None
+    warnings = [one for one in lines.records if one.message == 'load unusable']
+    assert [one.kwargs['worker'] for one in warnings] == ['w0']
     with logbook.TestHandler() as lines:
-        hear([(name(), 1, '', 100, 12.5)], workers=workers)
-        hear([row], workers=workers)
+        read_report([(make_name(), 1, '', 100, 12.5)], workers=workers)
+        read_report([row], workers=workers)
     assert [one.message for one in lines.records] == ['load unusable']
 
 
-@pytest.mark.parametrize('percent', [-1, -1e308, 101, 1e308, -HUGE, HUGE])
-def test_progress_of_no_task_is_within_its_bounds(percent):
-    heard = hear([(name(), 1, '', percent, 0)])
-    assert 0 <= heard.running[0].progress_percent <= 100
-
-
-NINES = int('9' * 4300)
-UNCOUNTABLE = {
-    'clock': {'clock_ms': NINES},
-    'clock below none': {'clock_ms': -NINES},
-    'run': {'running': [(name(), NINES, '', 0, 0)]},
-    'end': {'ended': [(NINES, name(), 1, 'done', '')]},
-    'run of an end': {'ended': [(1, name(), NINES, 'done', '')]},
+@pytest.mark.parametrize(
+    'percent', [-1, -1e308, 101, 1e308, -HUGE_NUMBER, HUGE_NUMBER]
+)
+def test_invalid_progress_is_clamped(percent):
+    worker_report = read_report([(make_name(), 1, '', percent, 0)])
+    assert 0 <= worker_report.running[0].progress_percent <= 100
+
+
+MAX_DIGITS_NUMBER = int('9' * 4300)
+UNSENDABLE = {
+    'clock': {'clock_ms': MAX_DIGITS_NUMBER},
+    'negative clock': {'clock_ms': -MAX_DIGITS_NUMBER},
+    'run': {'running': [(make_name(), MAX_DIGITS_NUMBER, '', 0, 0)]},
+    'end': {'ended': [(MAX_DIGITS_NUMBER, make_name(), 1, 'done', '')]},
+    'run of an end': {
+        'ended': [(1, make_name(), MAX_DIGITS_NUMBER, 'done', '')]
+    },
 }
 
 
-@pytest.mark.parametrize('place', sorted(UNCOUNTABLE))
-def test_number_that_no_order_can_carry_is_a_lost_answer(place):
-    """One more than it has a digit more than a text of a number may have."""
+@pytest.mark.parametrize('case', sorted(UNSENDABLE))
+def test_number_too_large_to_send_is_a_lost_answer(case):
+    """Its successor has more digits than Python converts to text."""
     with pytest.raises(AnswerLostError):
-        hear(**UNCOUNTABLE[place])
+        read_report(**UNSENDABLE[case])
 
 
-def test_clock_that_is_read_can_be_sent():
+def test_any_accepted_clock_can_be_sent():
     state = make_owner()
     for clock_ms in (2**62 - 1, -(2**62)):
-        effects = report(state, 'w0', hear(clock_ms=clock_ms))
+        effects = deliver_report(state, 'w0', read_report(clock_ms=clock_ms))
         state.workers['w0'].hold_after_ms = 0
         state.workers['w0'].is_reconciled = False
         effects += core.reduce(state, ev.Ticked(state.now_ms, state.now_ms))
@@ -249,32 +255,48 @@
         assert all(len(encode(one)) < 30 for one in deadlines)
 
 
-def test_load_that_is_not_told_is_no_tail_and_no_use():
-    """A tail that was not told kept every target, as one of 0 ms would."""
+def test_missing_load_keeps_the_tail_and_counts_as_no_use():
+    """Guards against a missing tail that counts as 0 ms, within any target."""
     state = make_owner()
-    rows = [(name(), 1, '', 100, 40.0), (name(step=FILLER), 1, '', 9, 1500.0)]
-    report(state, 'w0', hear(rows))
+    rows = [
+        (make_name(), 1, '', 100, 40.0),
+        (make_name(step=FILLER), 1, '', 9, 1500.0),
+    ]
+    deliver_report(state, 'w0', read_report(rows))
     serving, filler = state.workers['w0'].attempts.values()
     assert serving.tail_ms == 40.0
-    report(state, 'w0', hear([row[:4] for row in rows]))
+    deliver_report(state, 'w0', read_report([row[:4] for row in rows]))
     assert (serving.load, serving.tail_ms) == (0.0, 40.0)
     assert filler.load == 0.0
-    # What was read before is no base of the next tail.
-    report(state, 'w0', hear(rows))
+    # The tail is not derived from the reading before the missing one.
+    deliver_report(state, 'w0', read_report(rows))
     assert serving.tail_ms == 40.0
 
 
 KEYS = st.builds(
-    name,
+    make_name,
     st.sampled_from((0, 0, 0, 1, 2, -1, 10**9)),
     st.sampled_from((0, 0, 1, 1, 2, 3, 4, -1)),
     st.sampled_from((0, 0, 1, 1, 2, -1, 10**12)),
 )
 RUNS = st.sampled_from((1, 1, 1, 2, 0, -1, 2**62 - 1))
 LOADS = st.sampled_from(
-    (None, 0, 1e-320, 1e-9, 0.5, 14.0, 60.0, 2000.0, 1e9, 1e308, -5, HUGE)
+    (
+        None,
+        0,
+        1e-320,
+        1e-9,
+        0.5,
+        14.0,
+        60.0,
+        2000.0,
+        1e9,
+        1e308,
+        -5,
+        HUGE_NUMBER,
+    )
 )
-PERCENTS = st.sampled_from((0, 0.5, 50, 100, -1, 1e308, HUGE))
+PERCENTS = st.sampled_from((0, 0.5, 50, 100, -1, 1e308, HUGE_NUMBER))
 ROWS = st.tuples(KEYS, RUNS, st.sampled_from(('', 'c')), PERCENTS, LOADS)
 ENDS = st.tuples(
     st.sampled_from((-1, 0, 1, 2, 3, 2**62 - 1)),
@@ -294,12 +316,14 @@
 
 @settings(max_examples=300, suppress_health_check=list(HealthCheck))
 @given(st.lists(REPORTS, min_size=1, max_size=6))
-def test_no_report_ends_its_owner(reports):
+def test_no_report_stops_its_owner(reports):
     state = make_owner()
     for worker_id, running, ended, clock_ms in reports:
         with contextlib.suppress(AnswerLostError):
-            report(state, worker_id, hear(running, ended, clock_ms))
-        check_kept(state)
+            deliver_report(
+                state, worker_id, read_report(running, ended, clock_ms)
+            )
+        check_persisted(state)
 
 
 # -- entries and configurations -----------------------------------------------
@@ -318,7 +342,7 @@
     'Sequence': 4,
 }
 TIMES = st.sampled_from((0, 0.5, 1, -1, 1e15, 1e308, -1e308))
-COUNTS = st.sampled_from((0, 1, -1, 2**31, 2**64, HUGE, -HUGE))
+COUNTS = st.sampled_from((0, 1, -1, 2**31, 2**64, HUGE_NUMBER, -HUGE_NUMBER))
 ENTRIES = st.fixed_dictionaries(
     {},
     optional={
@@ -369,7 +393,7 @@
     ROUTES,
     st.sampled_from((0.0, 1e-9, 500.0, 1e9)),
 )
-def test_no_entry_and_no_queue_ends_an_owner(entries, route, run_ms):
+def test_no_entry_and_no_queue_stops_an_owner(entries, route, run_ms):
     state = make_owner()
     value = json.dumps({'Version': 1, 'Routes': [route]}).encode()
     configuration = decode_configuration(value)
@@ -380,22 +404,22 @@
         state.run_times_ms[QUEUE.name] = run_ms
     open_steps(job, state)
     running = [
-        (name(step=FILLER), 1, '', 9, 1500.0),
-        (name(), 1, '', 100, 40.0),
+        (make_name(step=FILLER), 1, '', 9, 1500.0),
+        (make_name(), 1, '', 100, 40.0),
     ]
     for number, entry in entries:
         list_entry(state, number, entry)
-        report(state, 'w0', hear(running))
+        deliver_report(state, 'w0', read_report(running))
         state.now_ms += 700
         core.reduce(state, ev.Ticked(state.now_ms, state.now_ms))
-    failed = [(1, name(step=BATCH), 1, 'failed', '')]
-    report(state, 'w0', hear(running, failed))
-    check_kept(state)
+    failed = [(1, make_name(step=BATCH), 1, 'failed', '')]
+    deliver_report(state, 'w0', read_report(running, failed))
+    check_persisted(state)
     measure(state)
 
 
 @given(st.lists(ENTRIES, max_size=8))
-def test_any_entries_make_a_layout(entries):
+def test_any_entries_give_a_valid_layout(entries):
     found = [
         decode_worker(f'w{number}', json.dumps(entry).encode())
         for number, entry in enumerate(entries)
--- a/tests/tulippin/jobs/test_scheduler_harm.py
+++ b/tests/tulippin/jobs/test_scheduler_harm.py
@@ -1,13 +1,11 @@
-"""Tasks with a target beside others that work, while nobody watches them.
-
-What users saw: lasting tasks were over their target for more than 4 s by
-what worked beside them, until the leases of all runs there lapsed, though
-the owner had been in touch all the time. Neighbours rest only once an
-owner has counted a miss for 1.8 s from report to report. Two ways in which
-that is not enough: the unit changes its owner in the middle of a miss, and
-the next one counts anew from its own first report; or the owner's orders
-get through and its reports do not, so that the count stands still while
-neighbours work on for as long as the lease lasts.
+"""Opportunistic tasks pause in time while their unit is badly observed.
+
+Guards against latency-critical tasks that miss their target for more than 4 s
+because of their neighbours. Neighbours pause once an owner has seen a miss for
+1.8 s in successive reports. That took too long in two cases: the owner of the
+unit changed during a miss and the next owner timed it from its own first
+report; or the owner's orders arrived but the reports were lost, so that the
+miss was not timed while neighbours ran until their lease expired.
 """
 
 import attrs
@@ -29,46 +27,45 @@
 
 SERVING = '0000000000000001'
 FILLER = '0000000000000002'
-# How long the users bear that a task is over its target by what works
-# beside it.
-HARM_S = 4.0
+# Maximum time for which neighbours may make a task miss its target.
+MAX_HARM_S = 4.0
 TARGET_MS = 50
-LOOK_S = 0.05
+SAMPLE_INTERVAL_S = 0.05
 WORKERS = 6
-# What a call waits for its answer.
-TIMEOUT_S = 0.7
+# Time after which a call without an answer fails.
+CALL_TIMEOUT_S = 0.7
 
 
 @attrs.define
-class Press:
-    """Whether opportunistic tasks that work raise the tails beside them."""
+class Interference:
+    """Whether running opportunistic tasks raise the tails beside them."""
 
     is_on: bool = False
 
 
 @pytest.fixture
-def press(monkeypatch):
-    """Let tails follow what works beside them, once it is switched on."""
-    press = Press()
+def interference(monkeypatch):
+    """Make tails depend on the tasks beside them, once it is switched on."""
+    interference = Interference()
 
     def get_load(worker, plan):
         if not plan.lasts:
             return 2000.0
-        return 90.0 if press.is_on and count_working(worker) else 12.0
+        return 90.0 if interference.is_on and count_working(worker) else 12.0
 
     monkeypatch.setattr(StandinWorker, '_get_load', get_load)
-    return press
+    return interference
 
 
 def count_working(worker):
-    """Return how many tasks work that fill idle processors."""
+    """Return the number of opportunistic tasks that are not paused."""
     return sum(
         run.pace_percent > 0 and not run.plan.lasts
         for run in worker.runs.values()
     )
 
 
-def is_harmed(worker):
+def has_disturbed_tasks(worker):
     serves = any(run.plan.lasts for run in worker.runs.values())
     return serves and count_working(worker) > 0
 
@@ -84,19 +81,19 @@
     return make_request(step, run_ms=60_000)
 
 
-async def begin(fleet):
-    """Have each worker serve, and work beside that; return the owner."""
+async def start_tasks(fleet):
+    """Start latency-critical and opportunistic tasks; return the owner."""
     await fleet.submit(SERVING, make_serving(WORKERS, TARGET_MS))
     await fleet.wait_running(WORKERS)
     await fleet.submit(FILLER, make_filler(), PATIENT)
     await fleet.wait_running(3 * WORKERS)
-    # Each worker has told of what works there.
+    # Until each worker has reported its running tasks.
     await trio.sleep(1)
     return fleet.instances[fleet.get_owner()]
 
 
-async def watch_harm(fleet, for_s=12):
-    """Return for how long, at most, some worker's tasks were harmed."""
+async def measure_harm(fleet, for_s=12):
+    """Return the longest time for which a worker's tasks were disturbed."""
     since_s = {}
     longest_s = 0.0
     until_s = trio.current_time() + for_s
@@ -104,17 +101,17 @@
         now_s = trio.current_time()
         for worker in fleet.platform.workers.values():
             worker.tick()
-            if not is_harmed(worker):
+            if not has_disturbed_tasks(worker):
                 since_s.pop(worker.worker_id, None)
                 continue
-            lasted_s = now_s - since_s.setdefault(worker.worker_id, now_s)
-            longest_s = max(longest_s, lasted_s)
-        await trio.sleep(LOOK_S)
+            missed_for_s = now_s - since_s.setdefault(worker.worker_id, now_s)
+            longest_s = max(longest_s, missed_for_s)
+        await trio.sleep(SAMPLE_INTERVAL_S)
     return longest_s
 
 
-def slow_down(monkeypatch, costs_s, instance):
-    """Let events take an owner's time, by kind; others take none."""
+def add_event_costs(monkeypatch, costs_s, instance):
+    """Make an owner take time to handle events, by kind of event."""
     clock = trio.lowlevel.current_clock()
     original = UnitShell.step
 
@@ -127,152 +124,152 @@
 
 
 def lose_reports(monkeypatch, after_s, for_s):
-    """Let no hold be answered for a while; all orders get through."""
+    """Lose the answers to hold calls for a while; orders still arrive."""
     original = StandinAgents.hold
     from_s = trio.current_time() + after_s
 
     async def hold(agents, *arguments):
         report = await original(agents, *arguments)
         if from_s <= trio.current_time() < from_s + for_s:
-            await trio.sleep(TIMEOUT_S)
+            await trio.sleep(CALL_TIMEOUT_S)
             raise AnswerLostError('the answer is lost')
         return report
 
     monkeypatch.setattr(StandinAgents, 'hold', hold)
 
 
-# -- an owner that is there --------------------------------------------------
+# -- one owner ----------------------------------------------------------------
 
 
-def test_neighbours_rest_where_the_owner_has_time(run_virtual, press):
+def test_neighbours_pause_with_a_responsive_owner(run_virtual, interference):
     async def run():
         async with open_fleet(instances=2, workers=WORKERS) as fleet:
-            await begin(fleet)
-            press.is_on = True
-            assert 0 < await watch_harm(fleet) < HARM_S
+            await start_tasks(fleet)
+            interference.is_on = True
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('tick_s', [0.03, 0.06, 0.1])
-def test_neighbours_rest_while_ticks_take_the_owners_time(
-    run_virtual, press, monkeypatch, tick_s
+def test_neighbours_pause_while_ticks_are_slow(
+    run_virtual, interference, monkeypatch, tick_s
 ):
     async def run():
         async with open_fleet(instances=2, workers=WORKERS) as fleet:
-            owner = await begin(fleet)
-            slow_down(monkeypatch, {ev.Ticked: tick_s}, owner)
-            press.is_on = True
-            assert 0 < await watch_harm(fleet) < HARM_S
+            owner = await start_tasks(fleet)
+            add_event_costs(monkeypatch, {ev.Ticked: tick_s}, owner)
+            interference.is_on = True
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('report_s', [0.02, 0.04, 0.08])
-def test_neighbours_rest_while_reports_take_the_owners_time(
-    run_virtual, press, monkeypatch, report_s
+def test_neighbours_pause_while_reports_are_slow(
+    run_virtual, interference, monkeypatch, report_s
 ):
     async def run():
         async with open_fleet(instances=2, workers=WORKERS) as fleet:
-            owner = await begin(fleet)
+            owner = await start_tasks(fleet)
             costs_s = dict.fromkeys(
                 (ev.WorkerAnswered, ev.PaceAnswered), report_s
             )
-            slow_down(monkeypatch, costs_s, owner)
-            press.is_on = True
-            assert 0 < await watch_harm(fleet) < HARM_S
+            add_event_costs(monkeypatch, costs_s, owner)
+            interference.is_on = True
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
-# -- an owner that changes --------------------------------------------------
+# -- changes of the owner -----------------------------------------------------
 
 
-@pytest.mark.parametrize('lasted_s', [0.3, 1.0, 1.6])
-def test_neighbours_rest_in_time_where_the_owner_is_lost_in_a_miss(
-    run_virtual, press, lasted_s
+@pytest.mark.parametrize('missed_for_s', [0.3, 1.0, 1.6])
+def test_neighbours_pause_in_time_if_the_owner_fails_during_a_miss(
+    run_virtual, interference, missed_for_s
 ):
     async def run():
         async with open_fleet(instances=3, workers=WORKERS) as fleet:
-            await begin(fleet)
-            press.is_on = True
-            fleet.nursery.start_soon(kill_owner, fleet, lasted_s)
-            assert 0 < await watch_harm(fleet) < HARM_S
+            await start_tasks(fleet)
+            interference.is_on = True
+            fleet.nursery.start_soon(kill_owner_after, fleet, missed_for_s)
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
-async def kill_owner(fleet, after_s):
+async def kill_owner_after(fleet, after_s):
     await trio.sleep(after_s)
     fleet.kill_owner()
 
 
-@pytest.mark.parametrize('lasted_s', [0.3, 1.0, 1.8, 2.0])
-def test_neighbours_rest_in_time_where_the_unit_is_given_up_in_a_miss(
-    run_virtual, press, lasted_s
+@pytest.mark.parametrize('missed_for_s', [0.3, 1.0, 1.8, 2.0])
+def test_neighbours_pause_in_time_if_the_owner_leaves_during_a_miss(
+    run_virtual, interference, missed_for_s
 ):
     async def run():
         async with open_fleet(instances=3, workers=WORKERS) as fleet:
-            owner = await begin(fleet)
-            press.is_on = True
-            fleet.nursery.start_soon(leave, owner, lasted_s)
-            assert 0 < await watch_harm(fleet) < HARM_S
+            owner = await start_tasks(fleet)
+            interference.is_on = True
+            fleet.nursery.start_soon(leave_after, owner, missed_for_s)
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
-async def leave(owner, after_s):
+async def leave_after(owner, after_s):
     await trio.sleep(after_s)
     await owner.shell.leave()
 
 
-@pytest.mark.parametrize('before_s', [0.1, 0.4, 0.7, 1.2])
-def test_neighbours_rest_in_time_where_the_store_costs_an_owner_its_unit(
-    run_virtual, press, before_s
+@pytest.mark.parametrize('outage_s', [0.1, 0.4, 0.7, 1.2])
+def test_neighbours_pause_in_time_if_a_store_outage_ends_ownership(
+    run_virtual, interference, outage_s
 ):
     async def run():
         async with open_fleet(instances=3, workers=WORKERS) as fleet:
-            await begin(fleet)
+            await start_tasks(fleet)
             fleet.platform.store.trouble.silenced = {fleet.get_owner()}
-            await trio.sleep(before_s)
-            press.is_on = True
-            assert 0 < await watch_harm(fleet) < HARM_S
+            await trio.sleep(outage_s)
+            interference.is_on = True
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
 
 
-# -- an owner that is heard and does not hear -------------------------------
+# -- an owner whose reports are lost ------------------------------------------
 
 
 @pytest.mark.parametrize('after_s', [0.0, 0.5, 1.0])
-def test_neighbours_rest_in_time_where_reports_are_lost_in_a_miss(
-    run_virtual, press, monkeypatch, after_s
+def test_neighbours_pause_in_time_if_reports_are_lost_during_a_miss(
+    run_virtual, interference, monkeypatch, after_s
 ):
     async def run():
         async with open_fleet(instances=2, workers=WORKERS) as fleet:
-            await begin(fleet)
-            press.is_on = True
+            await start_tasks(fleet)
+            interference.is_on = True
             lose_reports(monkeypatch, after_s, for_s=8)
-            assert 0 < await watch_harm(fleet) < HARM_S
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
 
     run_virtual(run)
 
 
-def test_neighbours_rest_in_time_where_two_reports_in_turn_are_lost(
-    run_virtual, press, monkeypatch
+def test_neighbours_pause_in_time_if_two_successive_reports_are_lost(
+    run_virtual, interference, monkeypatch
 ):
     async def run():
         async with open_fleet(instances=2, workers=WORKERS) as fleet:
-            await begin(fleet)
-            press.is_on = True
+            await start_tasks(fleet)
+            interference.is_on = True
             lose_reports(monkeypatch, 0.5, for_s=1.5)
-            assert 0 < await watch_harm(fleet) < HARM_S
+            assert 0 < await measure_harm(fleet) < MAX_HARM_S
             fleet.check()
 
     run_virtual(run)
--- a/tests/tulippin/jobs/test_scheduler_lasting.py
+++ b/tests/tulippin/jobs/test_scheduler_lasting.py
@@ -1,4 +1,4 @@
-"""Tasks that last run again soon, whatever their workers and owners do."""
+"""Long-running tasks restart soon after their workers or owners change."""
 
 import pytest
 import trio
@@ -15,17 +15,17 @@
 from tulippin.platform.standin_store import SILENCE_S, StoreView
 
 OTHER = '00000000000000bb'
-# What users bear without a run of a task that lasts: so long after its last
-# run, and a moment more until it counts as lost.
-BORNE_MS = 6000
-LOST_MS = 9000
+# Maximum time without a run of a long-running task: usually, and where its
+# worker crashes.
+MAX_GAP_MS = 6000
+MAX_CRASH_GAP_MS = 9000
 
 
-async def submit_lasting(fleet, count, **options):
-    """Let tasks that last run; return the worker of the first."""
+async def submit_long_running(fleet, count, **options):
+    """Start long-running tasks; return a worker that runs one."""
     await fleet.submit(request=make_lasting(count, **options))
     await fleet.wait_running(count)
-    # The owner has read where they run.
+    # Until the owner has read the reports.
     await trio.sleep(1.5)
     return next(
         worker for worker in fleet.platform.workers.values() if worker.runs
@@ -33,49 +33,46 @@
 
 
 async def restart_owner(fleet):
-    """Stop the owner in a planned way and start its instance anew."""
+    """Stop the owner in a planned way and restart its instance."""
     name = await fleet.wait_owner()
     await fleet.stop(name)
     await fleet.start(name)
 
 
-async def restart_owners_by_turns(fleet, count, pause_s):
+async def restart_owners_in_turn(fleet, count, pause_s):
     for _ in range(count):
         await restart_owner(fleet)
         await trio.sleep(pause_s)
 
 
-# What users saw: tasks that last stayed away for 13 s beside free room.
-# Order of events: a worker says that it leaves, and leaves with its tasks;
-# its unit changes hands in a planned way before the wait for the worker is
-# over, and again before the next owner's wait is. Cause: each owner counts
-# the longest lease that a worker grants from its own taking, and starts no
-# task that was there before while it waits. Evidence: the owner that at last
-# started them logged the worker's lease as lapsed 10.6 s after it had taken
-# the unit, and leases given are 4.5 s long.
-def test_tasks_of_a_worker_that_left_are_back_while_owners_change(run_virtual):
+# Guards against long-running tasks that stay down for 13 s beside free
+# capacity. A worker leaves with its tasks, and its unit is handed over several
+# times, each time before the owner's wait for the worker is over. Each owner
+# timed the longest possible lease of the worker, over 10 s, from its own
+# takeover, although leases of only 4.5 s had been granted.
+def test_tasks_of_a_departed_worker_restart_while_owners_change(run_virtual):
     async def run():
         async with open_fleet(instances=3, workers=3) as fleet:
-            worker = await submit_lasting(fleet, 3)
+            worker = await submit_long_running(fleet, 3)
             fleet.platform.drain(worker.worker_id, 2500)
             await trio.sleep(2.2)
-            # Each restart comes before the last owner's wait is over.
-            await restart_owners_by_turns(fleet, 4, 3)
+            # Restarts come before the previous owner's wait is over.
+            await restart_owners_in_turn(fleet, 4, 3)
             await trio.sleep(10)
             fleet.check()
             assert fleet.count_running() == 3
             return get_longest_gap_ms(fleet)
 
-    assert run_virtual(run) <= BORNE_MS
+    assert run_virtual(run) <= MAX_GAP_MS
 
 
-# What users saw: tasks that last stopped with a worker that had said so long
-# before, and were away until its lease was waited out. Cause: nothing moves
-# them; a draining worker only gets nothing new.
-def test_tasks_leave_a_draining_worker_before_it_does(run_virtual):
+# Guards against long-running tasks that stop with a draining worker and are
+# down until its lease has expired, because a draining worker got no new tasks
+# but kept its present ones.
+def test_tasks_move_off_a_draining_worker_before_it_leaves(run_virtual):
     async def run():
         async with open_fleet(instances=2, workers=3) as fleet:
-            worker = await submit_lasting(fleet, 3)
+            worker = await submit_long_running(fleet, 3)
             fleet.platform.drain(worker.worker_id, 5000)
             await trio.sleep(4.8)
             left_behind = len(worker.runs)
@@ -89,31 +86,31 @@
     assert gap_ms < 1500
 
 
-# As above, where nothing could be moved: the other workers are full until the
-# worker has left.
-def test_tasks_without_a_place_are_back_once_there_is_one(run_virtual):
+# As above, where the tasks can't move: the other workers are full until the
+# draining worker has left.
+def test_tasks_without_capacity_restart_once_there_is_some(run_virtual):
     async def run():
         async with open_fleet(instances=3, workers=2) as fleet:
-            worker = await submit_lasting(fleet, 2, cpu=10_000)
+            worker = await submit_long_running(fleet, 2, cpu=10_000)
             fleet.platform.drain(worker.worker_id, 2500)
             await trio.sleep(2.2)
             await restart_owner(fleet)
             while worker.is_up:
                 await trio.sleep(0.05)
             fleet.platform.add_worker('w9')
-            await restart_owners_by_turns(fleet, 3, 3)
+            await restart_owners_in_turn(fleet, 3, 3)
             await trio.sleep(10)
             fleet.check()
             assert fleet.count_running() == 2
             return get_longest_gap_ms(fleet)
 
-    assert run_virtual(run) <= BORNE_MS
+    assert run_virtual(run) <= MAX_GAP_MS
 
 
-def test_tasks_without_a_place_stay_until_their_worker_leaves(run_virtual):
+def test_tasks_without_other_capacity_stay_on_a_draining_worker(run_virtual):
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
-            worker = await submit_lasting(fleet, 2, cpu=10_000)
+            worker = await submit_long_running(fleet, 2, cpu=10_000)
             fleet.platform.drain(worker.worker_id, 5000)
             await trio.sleep(4.8)
             assert fleet.count_running() == 2
@@ -122,33 +119,33 @@
     run_virtual(run)
 
 
-# The same wait for a worker that says nothing: it crashes.
-def test_tasks_of_a_crashed_worker_are_back_while_owners_change(run_virtual):
+# The same for a worker that crashes without notice.
+def test_tasks_of_a_crashed_worker_restart_while_owners_change(run_virtual):
     async def run():
         async with open_fleet(instances=3, workers=3) as fleet:
-            worker = await submit_lasting(fleet, 3)
+            worker = await submit_long_running(fleet, 3)
             worker.crash()
             fleet.platform.remove(worker.worker_id)
             await trio.sleep(0.8)
-            await restart_owners_by_turns(fleet, 4, 3)
+            await restart_owners_in_turn(fleet, 4, 3)
             await trio.sleep(10)
             fleet.check()
             assert fleet.count_running() == 3
             return get_longest_gap_ms(fleet)
 
-    assert run_virtual(run) <= LOST_MS
+    assert run_virtual(run) <= MAX_CRASH_GAP_MS
 
 
-# What users saw: tasks away for 10 s after their worker had left, though
-# owners give leases of half that. Cause: a new owner counts the longest
-# lease that a worker grants also for a worker that has answered it, which
-# since then holds what this owner gave it.
-def test_worker_that_answered_is_waited_for_by_the_lease_given(run_virtual):
+# Guards against tasks that are down for 10 s after their worker has left,
+# although granted leases are half as long. A new owner waited for the longest
+# possible lease even of a worker that had answered it, and that therefore only
+# held the lease granted by this owner.
+def test_wait_for_a_worker_that_answered_is_its_granted_lease(run_virtual):
     async def run():
         async with open_fleet(
             instances=2, workers=3, worker_lease_limit_ms=10_000
         ) as fleet:
-            worker = await submit_lasting(fleet, 3)
+            worker = await submit_long_running(fleet, 3)
             fleet.kill_owner()
             await fleet.wait_owner()
             await trio.sleep(1)
@@ -159,19 +156,19 @@
             assert fleet.count_running() == 3
             return get_longest_gap_ms(fleet)
 
-    assert run_virtual(run) <= BORNE_MS
+    assert run_virtual(run) <= MAX_GAP_MS
 
 
-async def run_beside_silent_worker(fleet):
-    """Let a task's run end as the owner changes, beside a silent worker.
+async def end_run_beside_silent_worker(fleet):
+    """End a task's run as the owner changes, beside a silent worker.
 
-    Every lease there has lapsed long before.
+    All leases of the silent worker expired long before.
     """
-    worker = await submit_lasting(fleet, 1)
+    worker = await submit_long_running(fleet, 1)
     silent = next(
         one for one in fleet.platform.workers.values() if not one.runs
     )
-    # It has run something, so that orders may have had effect there.
+    # It has run a task, so that earlier orders may have an effect there.
     await fleet.submit(OTHER, make_request(make_step(16)))
     await fleet.wait_done(OTHER)
     silent.cut_off.add('*')
@@ -183,26 +180,26 @@
     await trio.sleep(2)
 
 
-# What users saw: tasks wait after a change of owner, though their workers
-# are well. Cause: a task that was there before waits for every rostered
-# worker, also where its last run is listed as ended and the silent worker
-# has been silent for longer than any lease.
-def test_task_seen_to_end_does_not_wait_for_a_worker_long_silent(run_virtual):
+# Guards against tasks that wait after a takeover although their workers are
+# healthy. A task that had run before waited for every rostered worker, even if
+# its last run was reported as ended and a silent worker had not answered for
+# longer than any lease.
+def test_ended_task_does_not_wait_for_a_long_silent_worker(run_virtual):
     async def run():
         async with open_fleet(instances=2, workers=3) as fleet:
-            await run_beside_silent_worker(fleet)
+            await end_run_beside_silent_worker(fleet)
             assert fleet.count_running() == 1
             fleet.check()
 
     run_virtual(run)
 
 
-def test_job_accepted_after_a_taking_does_not_wait_for_silent_workers(
+def test_job_accepted_after_a_takeover_does_not_wait_for_silent_workers(
     run_virtual,
 ):
     async def run():
         async with open_fleet(instances=2, workers=3) as fleet:
-            await submit_lasting(fleet, 1)
+            await submit_long_running(fleet, 1)
             silent = next(
                 one for one in fleet.platform.workers.values() if not one.runs
             )
@@ -216,18 +213,17 @@
     run_virtual(run)
 
 
-# What users see: nothing of a unit runs any more, for good, though store,
-# workers and instances are well. Order of events: an owner is lost; every
-# other instance tries to take its unit while the store is silent or refuses,
-# and gives up. Cause: after a try that failed each waits to see the unit's
-# rows change, and with no owner nobody changes them.
+# Guards against a unit that stays without an owner although store, workers and
+# instances are healthy again. An owner fails, and every other instance tries
+# to take its unit while the store is unavailable. After a failed attempt each
+# instance waited for a change of the unit's rows, which no owner changes.
 @pytest.mark.parametrize('trouble', ['silenced', 'refused'])
-def test_unit_is_taken_though_all_tries_failed_in_an_outage(
+def test_unit_is_taken_after_all_attempts_failed_in_an_outage(
     run_virtual, trouble
 ):
     async def run():
         async with open_fleet(instances=3, workers=2) as fleet:
-            await submit_lasting(fleet, 2)
+            await submit_long_running(fleet, 2)
             fleet.kill_owner()
             await trio.sleep(1.5)
             clients = getattr(fleet.platform.store.trouble, trouble)
@@ -246,52 +242,47 @@
     )
 
 
-def hold_renewal_back(monkeypatch):
-    """Leave a renewal unanswered, and do it after a release."""
-    held = []
+def delay_renewal(monkeypatch):
+    """Leave a renewal unanswered, and apply it after a release."""
+    delayed = []
     original = StoreView.transact
 
     async def transact(view, transaction):
         keys = {write.key for write in transaction.writes}
-        if keys == {LEASE_KEY} and not held:
-            held.append(transaction)
+        if keys == {LEASE_KEY} and not delayed:
+            delayed.append(transaction)
             await trio.sleep(SILENCE_S)
-            raise AnswerLostError('held back')
+            raise AnswerLostError('renewal is delayed')
         result = await original(view, transaction)
         if is_release(transaction):
-            view.store.apply(held.pop())
+            view.store.apply(delayed.pop())
         return result
 
     monkeypatch.setattr(StoreView, 'transact', transact)
-    return held
-
-
-# What users saw: a unit given up in a planned way had no owner for 3 s, and
-# nothing of it was started. Order of events: a renewal of the lease is not
-# answered; the owner releases the unit, and others see that; the store does
-# the renewal now. Cause: a renewal asks for the epoch's row only, which a
-# release leaves as it is, so it takes the release back, and others wait for
-# the lease to lapse. Evidence: tries to take the unit as released failed,
-# the next ones called it lapsed, and the one that did succeed had the epoch
-# after the old owner's: none but that owner can have written in between.
-def test_renewal_done_late_does_not_take_a_release_back(
-    run_virtual, monkeypatch
-):
+    return delayed
+
+
+# Guards against a released unit that has no owner for 3 s. A renewal of the
+# lease is not answered, the owner releases the unit, and then the store applies
+# the renewal. The renewal was conditional on the epoch's row only, which a
+# release does not change, so it undid the release and other instances waited
+# for the lease to expire.
+def test_late_renewal_does_not_undo_a_release(run_virtual, monkeypatch):
     async def run():
         async with open_fleet(instances=3) as fleet:
-            held = hold_renewal_back(monkeypatch)
-            while not held:
+            delayed = delay_renewal(monkeypatch)
+            while not delayed:
                 await trio.sleep(0.01)
             leaving = fleet.get_owner()
             await fleet.stop(leaving)
-            assert not held
+            assert not delayed
             await fleet.wait_owner(limit_s=1)
 
     run_virtual(run)
 
 
-async def keep_busy(fleet, **options):
-    """Let short tasks wait at all times, as urgent as those that last."""
+async def submit_short_tasks(fleet, **options):
+    """Keep short tasks of the same priority waiting at all times."""
     number = 0
     while True:
         number += 1
@@ -300,34 +291,35 @@
         await trio.sleep(0.4)
 
 
-# What users saw: tasks that last were away for 27 s and more, 10 s of it
-# with a unit that waited for nobody. Order of events: their workers leave;
-# the unit's other workers are full; room comes free all the time, and
-# short tasks of the same urgency and size take it. Cause: of one urgency,
-# all short tasks go before those that last, however long these have waited.
-# Evidence: in those 10 s the owner started 88 short tasks of at least the
-# size of the one that waited.
-def test_short_tasks_do_not_keep_a_task_that_lasts_away(run_virtual):
+# Guards against long-running tasks that are down for 27 s and more. Their
+# workers leave while the other workers are full, and short tasks of the same
+# priority and size take all capacity that becomes free: short tasks went first
+# however long a long-running one had waited, and 88 of them started within
+# 10 s.
+def test_short_tasks_do_not_starve_a_long_running_task(run_virtual):
     async def run():
         async with open_fleet(instances=2, workers=3) as fleet:
-            worker = await submit_lasting(fleet, 2, cpu=10_000)
-            fleet.nursery.start_soon(lambda: keep_busy(fleet, cpu=10_000))
+            worker = await submit_long_running(fleet, 2, cpu=10_000)
+            fleet.nursery.start_soon(
+                lambda: submit_short_tasks(fleet, cpu=10_000)
+            )
             await trio.sleep(1)
             worker.crash()
             fleet.platform.remove(worker.worker_id)
-            await trio.sleep(LOST_MS / 1000 + 4)
+            await trio.sleep(MAX_CRASH_GAP_MS / 1000 + 4)
             fleet.check()
             return get_longest_gap_ms(fleet)
 
-    assert run_virtual(run) <= LOST_MS
+    assert run_virtual(run) <= MAX_CRASH_GAP_MS
 
 
-# As above, where a try was done and its answers were lost: the rows that say
-# so are seen while the try still goes on, and not looked at again.
-def test_instance_that_took_a_unit_unheard_comes_to_know(run_virtual):
+# As the test of attempts that fail in an outage, but the attempt succeeds and
+# its answers are lost. Its rows were read while the attempt was still open, and
+# not checked again.
+def test_instance_learns_of_a_takeover_with_lost_answers(run_virtual):
     async def run():
         async with open_fleet(instances=1) as fleet:
-            await submit_lasting(fleet, 2)
+            await submit_long_running(fleet, 2)
             fleet.kill_owner()
             fleet.platform.store.trouble.lost_answer_share = 1.0
             await fleet.start('i1')
--- a/tests/tulippin/jobs/test_worker_lives.py
+++ b/tests/tulippin/jobs/test_worker_lives.py
@@ -1,13 +1,9 @@
-"""A worker's life that is over: nothing is asked of it any more.
-
-What users saw: after workers had crashed and were back, the owner spent all of
-its processor for as long as such crashes went on, and its log was one line over
-and over. Order of events: a worker is silent for a while, and its next life
-answers at its address; the owner takes the old life for over, and still counts
-it as silent; what is silent is asked again, and each answer, that another life
-is there, comes at once. Cause: the end of a life did not end the questions
-about it, and they had no pause. Evidence: 885 of 969 lines that were kept of
-an owner's log were `worker replaced`, for lives replaced 15 s before.
+"""A worker incarnation that is over gets no further calls.
+
+Guards against an owner that saturates its processor after a worker crash: the
+worker does not answer for a while, then its next incarnation answers at the
+same address. The owner marked the old incarnation as over but still counted it
+as silent, and retried it without a pause after each immediate answer.
 """
 
 import collections
@@ -18,13 +14,13 @@
 from tulippin.platform.standin import StandinAgents
 
 
-def count_holds(run_virtual, monkeypatch):
-    """Return how often a crashed worker is asked beside its next life."""
-    asked = collections.Counter()
+def count_hold_calls(run_virtual, monkeypatch):
+    """Return the number of hold calls to a worker after its replacement."""
+    calls = collections.Counter()
     hold = StandinAgents.hold
 
     async def count(agents, worker_id, *details):
-        asked[worker_id] += 1
+        calls[worker_id] += 1
         return await hold(agents, worker_id, *details)
 
     monkeypatch.setattr(StandinAgents, 'hold', count)
@@ -39,14 +35,14 @@
             await trio.sleep(1.5)
             fleet.platform.add_worker('w0+1', address=worker.address)
             await fleet.wait_running(2)
-            asked.clear()
+            calls.clear()
             await trio.sleep(5)
             fleet.check()
 
     run_virtual(run)
-    return asked['w0']
+    return calls['w0']
 
 
-def test_worker_that_was_replaced_is_asked_no_more(run_virtual, monkeypatch):
-    """It was asked 5,001 times in 5 s of virtual time, once a millisecond."""
-    assert count_holds(run_virtual, monkeypatch) <= 1
+def test_replaced_worker_gets_no_further_calls(run_virtual, monkeypatch):
+    """The fault caused 5,001 calls in 5 s of virtual time."""
+    assert count_hold_calls(run_virtual, monkeypatch) <= 1
