--- a/src/tulippin/jobs/_reports.py
+++ b/src/tulippin/jobs/_reports.py
@@ -33,6 +33,7 @@
 
 @handle.register
 def _handle_report(event: WorkerAnswered, context: Context) -> None:
+    """Apply a report to the worker's clock, ends and runs."""
     state = context.state
     worker = state.workers.get(event.worker_id)
     if worker is None:
--- a/src/tulippin/jobs/_tails.py
+++ b/src/tulippin/jobs/_tails.py
@@ -24,7 +24,7 @@
 MIN_READING_INTERVAL_MS: t.Final = 280
 _MIN_TAIL_MS: t.Final = 1.0
 # Maximum age of siblings' tails that are compared; a report covers half a
-# second, and workers without load report once a second.
+# second, and workers without opportunistic runs report once a second.
 _MAX_SIBLING_AGE_MS: t.Final = 1300
 # Minimum number of siblings whose lowest tail counts as undisturbed.
 _MIN_SIBLINGS: t.Final = 2
@@ -35,8 +35,8 @@
 _MIN_IDLE_SHARE: t.Final = 0.1
 # Maximum ratio of tail to target of a task without neighbours: 43 of 50 ms.
 _MAX_ALONE_RATIO: t.Final = 0.87
-# A job's tasks share its load unevenly: learning rate of a task's factor,
-# minimum load of the job at which it shows, and bounds of the factor.
+# A job's tasks share its load unevenly, so each has a factor: its learning
+# rate, the minimum load of the job to learn it from, and its bounds.
 _LOAD_FACTOR_RATE: t.Final = 0.3
 _MIN_JOB_LOAD: t.Final = 0.15
 _MAX_LOAD_FACTOR: t.Final = 2.0
@@ -51,7 +51,7 @@
 # as much for the load as the tail of a task without neighbours.
 _HALF_WEIGHT_SLOWDOWN: t.Final = 0.08
 # A load above the predicted one by this much is attributed to a disturbance,
-# and its weight is reduced by this factor.
+# and its weight is multiplied by this factor.
 _UNEXPLAINED_LOAD: t.Final = 0.1
 _UNEXPLAINED_WEIGHT: t.Final = 0.15
 # Weight above which a tail updates the task's own factor of the load cycle,
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -31,7 +31,7 @@
 
 # How long a hold call waits at the worker for the end of a run: by default,
 # where opportunistic tasks share processors with tasks that have a latency
-# target (the tails are checked), and while the outcome of an order is open.
+# target, whose tails need frequent checks, and while an order is unconfirmed.
 _DEFAULT_HOLD_WAIT_MS: t.Final = 1000
 _SHARED_HOLD_WAIT_MS: t.Final = 400
 _PENDING_HOLD_WAIT_MS: t.Final = 150
--- a/tests/tulippin/jobs/test_foreign_rows.py
+++ b/tests/tulippin/jobs/test_foreign_rows.py
@@ -83,7 +83,7 @@
     return state
 
 
-def load_unit(jobs=(), progress=(), **fields):
+def load(jobs=(), progress=(), **fields):
     """Return the state of a unit with two workers, after loading the rows."""
     state = make_loading_state()
     roster = {'w0': 'w0:80', 'w1': 'w1:80'}
@@ -107,7 +107,7 @@
     return core.reduce(state, event)
 
 
-def advance_time(state, ms=3000, step_ms=50):
+def pass_time(state, ms=3000, step_ms=50):
     """Advance the time with ticks; return all effects."""
     effects = []
     for _ in range(0, ms, step_ms):
@@ -117,10 +117,10 @@
     return effects
 
 
-def answer_and_wait(state):
+def settle(state):
     """Let both workers answer and advance the time; return all effects."""
     effects = [*answer(state, 'w0'), *answer(state, 'w1')]
-    effects.extend(advance_time(state))
+    effects.extend(pass_time(state))
     return effects
 
 
@@ -174,11 +174,11 @@
     rows = [make_row(JOB, INVALID_JOBS[name]), make_job_row()]
     with logbook.TestHandler() as handler:
         if is_new:
-            state = load_unit()
+            state = load()
             core.reduce(state, JobsChanged(state.now_ms, tuple(rows)))
         else:
-            state = load_unit(rows)
-        started = list_started(answer_and_wait(state))
+            state = load(rows)
+        started = list_started(settle(state))
     assert list(state.jobs) == [OTHER]
     assert {key.job_id for key in started} == {OTHER}
     assert count_lines(handler, 'row unreadable') == 1
@@ -191,41 +191,41 @@
     if is_guest:
         record = GuestRecord(QUEUE, REQUEST, {'0.0.0': 1})
         key = f'{key}/guest'
-    state = load_unit([make_row(key, record), make_job_row()])
-    answer_and_wait(state)
+    state = load([make_row(key, record), make_job_row()])
+    settle(state)
     assert list(state.jobs) == [OTHER]
 
 
 @pytest.mark.parametrize('name', sorted(INVALID_JOBS))
 def test_job_whose_row_becomes_invalid_continues(name):
-    state = load_unit([make_job_row(JOB)])
+    state = load([make_job_row(JOB)])
     rows = (make_row(JOB, INVALID_JOBS[name], 200),)
     core.reduce(state, JobsChanged(state.now_ms, rows))
-    assert len(list_started(answer_and_wait(state))) == 2
+    assert len(list_started(settle(state))) == 2
 
 
 def test_job_that_was_unreadable_at_loading_starts_nothing_later():
     # Its progress was not read, and its runs were stopped as orphaned.
-    state = load_unit([make_row(JOB, b'{')])
+    state = load([make_row(JOB, b'{')])
     row = make_job_row(JOB, version=200)
     core.reduce(state, JobsChanged(state.now_ms, (row,)))
-    assert list_started(answer_and_wait(state)) == []
+    assert list_started(settle(state)) == []
     assert state.jobs[JOB].is_past_unknown
 
 
 def test_job_that_arrived_unreadable_starts_once_it_is_readable():
-    state = load_unit()
+    state = load()
     for row in (make_row(JOB, b'{', 150), make_job_row(JOB, version=200)):
         core.reduce(state, JobsChanged(state.now_ms, (row,)))
-    assert len(list_started(answer_and_wait(state))) == 2
+    assert len(list_started(settle(state))) == 2
 
 
 @pytest.mark.parametrize('name', sorted(UNREADABLE))
 def test_unreadable_cancel_row_cancels_the_job(name):
-    state = load_unit(
+    state = load(
         [make_job_row(JOB), make_row(f'{JOB}/cancel', UNREADABLE[name])]
     )
-    assert list_started(answer_and_wait(state)) == []
+    assert list_started(settle(state)) == []
     assert state.jobs[JOB].state is JobState.CANCELLED
 
 
@@ -260,20 +260,20 @@
 def test_invalid_transferred_job_affects_no_other_job(name, is_new):
     rows = [make_row(f'{JOB}/guest', INVALID_GUESTS[name]), make_job_row()]
     if is_new:
-        state = load_unit()
+        state = load()
         core.reduce(state, JobsChanged(state.now_ms, tuple(rows)))
     else:
-        state = load_unit(rows)
-    started = list_started(answer_and_wait(state))
+        state = load(rows)
+    started = list_started(settle(state))
     assert {key.job_id for key in started} == {OTHER}
 
 
 def test_transferred_job_with_different_steps_changes_nothing():
     longer = JobRequest('text', (Step(9, SIZE),))
     guest = GuestRecord(QUEUE, longer, {'0.0.8': 1})
-    state = load_unit([make_job_row(JOB), make_row(f'{JOB}/guest', guest)])
+    state = load([make_job_row(JOB), make_row(f'{JOB}/guest', guest)])
     assert state.jobs[JOB].passes == {}
-    assert len(list_started(answer_and_wait(state))) == 2
+    assert len(list_started(settle(state))) == 2
 
 
 # -- progress -----------------------------------------------------------------
@@ -317,8 +317,8 @@
         make_row(OTHER, make_progress(done={'0.0': '1'}), 20, 'progress0'),
     ]
     with logbook.TestHandler() as handler:
-        state = load_unit([make_job_row(JOB), make_job_row()], progress)
-        effects = answer_and_wait(state)
+        state = load([make_job_row(JOB), make_job_row()], progress)
+        effects = settle(state)
     # Tasks that may be done are not run again; other jobs continue.
     assert list_started(effects) == [TaskKey(OTHER, 0, 0, 1)]
     # Only the start of the other job's task is written.
@@ -333,8 +333,8 @@
 
 def test_job_with_unreadable_progress_can_be_cancelled():
     progress = [make_row(JOB, b'{', 20, 'progress0', 'u0')]
-    state = load_unit([make_job_row(JOB)], progress)
-    answer_and_wait(state)
+    state = load([make_job_row(JOB)], progress)
+    settle(state)
     row = make_row(f'{JOB}/cancel', b'{}', 200)
     effects = core.reduce(state, JobsChanged(state.now_ms, (row,)))
     committed = list_committed(effects)
@@ -345,7 +345,7 @@
 
 def test_run_of_a_job_with_unreadable_progress_continues_and_is_not_repeated():
     progress = [make_row(JOB, b'{', 20, 'progress0', 'u0')]
-    state = load_unit([make_job_row(JOB)], progress)
+    state = load([make_job_row(JOB)], progress)
     key = TaskKey(JOB, 0, 0, 0)
     effects = [
         *answer(state, 'w0', [RunningTask(key, 7, '', 10, None)]),
@@ -355,12 +355,12 @@
     state.now_ms += 50
     ended = EndedRun(1, key, 7, RunOutcome.FAILED, '')
     effects.extend(answer(state, 'w0', ended=[ended]))
-    effects.extend(advance_time(state))
+    effects.extend(pass_time(state))
     assert list_started(effects) == []
     assert list_committed(effects) == []
 
 
 def test_removed_progress_row_changes_nothing():
     rows = [StoredRow('progress0', 'u0', JOB, None, 20)]
-    state = load_unit([make_job_row(JOB)], rows)
-    assert len(list_started(answer_and_wait(state))) == 2
+    state = load([make_job_row(JOB)], rows)
+    assert len(list_started(settle(state))) == 2
