--- a/src/tulippin/jobs/__init__.py
+++ b/src/tulippin/jobs/__init__.py
@@ -1,7 +1,7 @@
-"""Jobs of steps and tasks on workers with leases: the batch scheduler.
+"""The job scheduler: runs jobs of steps and tasks on leased workers.
 
-``make_state`` and ``reduce`` decide; a ``SchedulerShell`` carries out
-effects; a ``JobIntake`` takes callers' calls.
+``make_state`` and ``reduce`` make the decisions, a ``SchedulerShell`` performs
+their effects, and a ``JobIntake`` serves API calls.
 """
 
 from __future__ import annotations
--- a/src/tulippin/jobs/_accounts.py
+++ b/src/tulippin/jobs/_accounts.py
@@ -1,4 +1,8 @@
-"""What a release keeps for the next owner: the model, and the account."""
+"""Writes of a planned release for the next owner: model, release report.
+
+The release report (a row of the accounts table) says which tasks may still
+run on which workers.
+"""
 
 from __future__ import annotations
 
@@ -25,73 +29,73 @@
 if t.TYPE_CHECKING:
     from tulippin.jobs.unit_shell import UnitShell
 
-# The users' stores keep 64 KiB in a row. A unit of 44 workers with 600
+# The store limits a row to 64 KiB. The report of a unit of 44 workers with 600
 # tasks takes 17 KB.
-_ACCOUNT_LIMIT_BYTES: t.Final = 60_000
-# An account that is not read by then is left out: the unit has no owner
-# until it is released, and without the account only what may run on silent
-# workers waits.
+_MAX_REPORT_BYTES: t.Final = 60_000
+# Time limit for reading the previous owner's report, which is left out after
+# it. The unit has no owner until the release is done, while without the report
+# only tasks that may run on silent workers have to wait.
 _READ_LIMIT_S: t.Final = 0.5
 
 
 async def make_known_writes(
     effect: fx.ReleaseLease, shell: UnitShell
 ) -> list[RowWrite]:
-    """Return what keeps the model, and the account if a row holds it."""
+    """Return the writes of the model, and of the report if it fits a row."""
     writes = []
     if effect.model is not None:
         writes.append(RowWrite(MODELS_TABLE, MODEL_KEY, encode(effect.model)))
-    account = await _find_account(effect, shell)
+    account = await _find_report(effect, shell)
     if account is None:
         return writes
-    account = _name_tasks(account)
+    account = _drop_invalid_names(account)
     fault = find_fault(account)
     if fault:
-        # The next owner does without: it waits for all workers.
-        logger.error('account not kept', reason=fault)
+        # Without a report, the next owner waits for all workers.
+        logger.error('release report not written', reason=fault)
         shell.state.count('accounts_not_kept')
         return writes
     value = encode(account)
-    if len(value) > _ACCOUNT_LIMIT_BYTES:
-        # The next owner does without: it waits for all workers.
-        logger.warning('account too large', bytes=len(value))
+    if len(value) > _MAX_REPORT_BYTES:
+        # Without a report, the next owner waits for all workers.
+        logger.warning('release report too large', bytes=len(value))
     else:
         writes.append(RowWrite(ACCOUNTS_TABLE, ACCOUNT_KEY, value))
     return writes
 
 
-def _name_tasks(account: AccountRecord) -> AccountRecord:
-    """Return an account without names that no task can have.
+def _drop_invalid_names(account: AccountRecord) -> AccountRecord:
+    """Return a report without names that no task can have.
 
-    Workers may tell such a run. No job would be held up by it, while the
-    account that names it would be refused with all that it tells.
+    Workers may report runs with such names. They concern no job, but a report
+    that includes them would be refused as a whole.
     """
     workers = {}
-    for worker_id, told in account.workers.items():
-        tasks = told.tasks
+    for worker_id, entry in account.workers.items():
+        tasks = entry.tasks
         if tasks is not None:
             tasks = tuple(filter(is_task_name, tasks))
-        workers[worker_id] = attrs.evolve(told, tasks=tasks)
+        workers[worker_id] = attrs.evolve(entry, tasks=tasks)
     return attrs.evolve(account, workers=workers)
 
 
-async def _find_account(
+async def _find_report(
     effect: fx.ReleaseLease, shell: UnitShell
 ) -> AccountRecord | None:
-    """Return the owner's account; the last owner's if it gave no order.
+    """Return this owner's report, or the last one if it gave no order.
 
-    Nobody else writes it while the epoch's row is ours, and the release is
-    done only if it is.
+    No other instance writes the row while this one owns the unit, and the
+    release is carried out only in that case.
     """
     if effect.unused_ms is None:
         return effect.account
-    account = await _read_account(shell)
+    account = await _read_report(shell)
     if account is None or account.epoch != effect.epoch.epoch - 1:
         return None
     return account.hand_on(effect.unused_ms)
 
 
-async def _read_account(shell: UnitShell) -> AccountRecord | None:
+async def _read_report(shell: UnitShell) -> AccountRecord | None:
     row = None
     part = shell.config.unit.part
     store = shell.ports.store
@@ -99,5 +103,5 @@
         with trio.move_on_after(_READ_LIMIT_S):
             row = await read_row(store, ACCOUNTS_TABLE, part, ACCOUNT_KEY)
     except UnavailableError as error:
-        logger.info('account not handed on', reason=error.message)
+        logger.info('release report not handed over', reason=error.message)
     return read_record(row, AccountRecord)
--- a/src/tulippin/jobs/_dispatch.py
+++ b/src/tulippin/jobs/_dispatch.py
@@ -1,4 +1,4 @@
-"""The generic function that handlers of events register with."""
+"""Dispatch of events to their handlers, and the context of a handler."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 @attrs.define
 class Context:
-    """One event's way through the reducer: the state, and the effects."""
+    """State and collected effects while the reducer handles one event."""
 
     state: SchedulerState
     effects: list[JobEffect] = attrs.field(factory=list)
 
     def emit(self, effect: JobEffect) -> None:
-        """Add an effect; they are performed in this order."""
+        """Add an effect; effects are performed in the order of their calls."""
         self.effects.append(effect)
 
     def log(self, decision: str, **fields: t.Any) -> None:
-        """Add a line to the log of decisions."""
+        """Add the effect that logs a decision."""
         self.effects.append(LogDecision(decision, fields))
 
     @property
     def fencing_token(self) -> int:
-        """The epoch under which orders are given."""
+        """The epoch under which orders are sent."""
         epoch = self.state.ownership.epoch
         return epoch.epoch if epoch else 0
 
     @property
     def may_order(self) -> bool:
-        """Whether orders to workers may be given now."""
+        """Whether orders may be sent to workers now."""
         ownership = self.state.ownership
         return ownership.phase is Phase.ACTIVE and not ownership.must_confirm
 
 
 @functools.singledispatch
 def handle(event: JobEvent, context: Context) -> None:
-    """Handle one event."""
+    """Handle one event; modules register a handler for each type."""
     raise NotImplementedError(type(event))
--- a/src/tulippin/jobs/_perform.py
+++ b/src/tulippin/jobs/_perform.py
@@ -1,4 +1,4 @@
-"""The generic function that begins an effect; handlers register with it."""
+"""Dispatch of effects to the functions that perform them."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 @functools.singledispatch
 def perform(effect: JobEffect, shell: UnitShell) -> None:
-    """Begin one effect."""
+    """Start to perform one effect; modules register one function per type."""
     raise NotImplementedError(type(effect))
--- a/src/tulippin/jobs/_restarts.py
+++ b/src/tulippin/jobs/_restarts.py
@@ -1,13 +1,12 @@
-"""What becomes of a unit whose decisions raised an error.
+"""Restart policy for units whose reducer raised an unexpected error.
 
-Its state may be half changed, so that nothing of it is used again: the unit
-begins anew from the store, as after the end of a process, and the instance
-goes on with its other units and its callers. What can't be known is which
-input was to blame. So the inputs that only advise go first: the rows that
-the failed event was made of, and at the next failure all of them. Rows of
-jobs, progress, epochs and rosters are never left out: a unit that ran
-without one of them could start a task beside itself, where one that stands
-still only delays it.
+The state of the unit may be half changed, so it is discarded: the unit is
+loaded from the store again, as after the end of a process, while the instance
+serves its other units and callers. It is unknown which input caused the error.
+Advisory inputs are therefore excluded first: the rows that the failed event
+was made of, and at the next failure all advisory inputs. Rows of jobs,
+progress, epochs and rosters are never excluded. A unit that ignored one of
+them could run a task twice, while a unit that stands still only delays it.
 """
 
 from __future__ import annotations
@@ -16,23 +15,24 @@
 
 import attrs
 
-# Failures further apart are taken for separate ones.
-_MEMORY_MS: t.Final = 60_000
-# How long the unit rests after the second failure, doubled at each further
-# one: from the third on others take it first, and what fails at each event
-# fails some times a minute.
-_FIRST_WAIT_MS: t.Final = 1000
-_LONGEST_WAIT_MS: t.Final = 30_000
-# Rows that are set aside; there are some per unit.
-_MOST_ASIDE: t.Final = 200
+# Failures that are further apart count as unrelated.
+_FAILURE_WINDOW_MS: t.Final = 60_000
+# Backoff after the second failure, doubled at each further one. From the third
+# failure on other instances take the unit first, and a unit that fails at
+# every event fails only a few times a minute.
+_MIN_BACKOFF_MS: t.Final = 1000
+_MAX_BACKOFF_MS: t.Final = 30_000
+# Limit of excluded row versions; each unit has a few advisory rows.
+_MAX_EXCLUDED_ROWS: t.Final = 200
 
 
 @attrs.define
 class RestartLog:
-    """What is known of a unit's failures at this instance.
+    """Failures of a unit on this instance.
 
-    Nothing that only advises is taken in until ``advice_after_ms``. ``aside``
-    names the versions of rows that never are.
+    ``failed_ms`` holds the times of recent failures. Advisory inputs are
+    ignored until ``advice_after_ms``, and the row versions named in ``aside``
+    for good. ``life`` counts the restarts.
     """
 
     failed_ms: list[int] = attrs.field(factory=list)
@@ -41,25 +41,25 @@
     life: int = 0
 
     def note(self, sources: t.Iterable[str], now_ms: int) -> int:
-        """Take in a failure; return the time until the unit is taken again.
+        """Record a failure and return the backoff before the restart.
 
         Parameters
         ----------
         sources : iterable of str
-            The rows that the failed event was made of.
+            Names of the rows that the failed event was made of.
         now_ms : int
-            When it failed.
+            The time of the failure.
         """
-        since_ms = now_ms - _MEMORY_MS
-        self.failed_ms = [one for one in self.failed_ms if one > since_ms]
+        since_ms = now_ms - _FAILURE_WINDOW_MS
+        self.failed_ms = [at_ms for at_ms in self.failed_ms if at_ms > since_ms]
         if self.failed_ms:
-            self.advice_after_ms = now_ms + _MEMORY_MS
+            self.advice_after_ms = now_ms + _FAILURE_WINDOW_MS
         self.failed_ms.append(now_ms)
-        if len(self.aside) > _MOST_ASIDE:
+        if len(self.aside) > _MAX_EXCLUDED_ROWS:
             self.aside.clear()
         self.aside.update(sources)
         self.life += 1
         doublings = len(self.failed_ms) - 2
         if doublings < 0:
             return 0
-        return min(_FIRST_WAIT_MS << doublings, _LONGEST_WAIT_MS)
+        return min(_MIN_BACKOFF_MS << doublings, _MAX_BACKOFF_MS)
--- a/src/tulippin/jobs/_row_effects.py
+++ b/src/tulippin/jobs/_row_effects.py
@@ -1,4 +1,8 @@
-"""Effects on the unit's rows: lease, epoch, progress and roster."""
+"""Performs effects on rows in the store.
+
+They concern the unit's lease, epoch, progress, model and roster, and the rows
+by which units transfer, remove and abandon jobs.
+"""
 
 from __future__ import annotations
 
@@ -51,12 +55,13 @@
 if t.TYPE_CHECKING:
     from tulippin.jobs.unit_shell import UnitShell
 
-# How long each is tried, until a new try with newer rows does better.
+# Time limits for the attempts of each write. After them, a new attempt with
+# newer rows is more useful.
 _TAKE_LIMIT_S: t.Final = 2.0
 _RENEW_LIMIT_S: t.Final = 1.4
 _RELEASE_LIMIT_S: t.Final = 0.5
-_PASS_LIMIT_S: t.Final = 1.0
-_PASS_PAUSE_S: t.Final = 0.3
+_TRANSFER_LIMIT_S: t.Final = 1.0
+_TRANSFER_RETRY_PAUSE_S: t.Final = 0.3
 _MS: t.Final = 1000
 
 
@@ -66,10 +71,10 @@
 
 
 async def _run_take(effect: fx.TakeUnit, shell: UnitShell) -> None:
-    # The epoch stands among the jobs too: an owner that was succeeded and
-    # does not know it meets it in its feed before any job that came later,
-    # at the cost of no call. Without it two owners start such a job's
-    # tasks, on workers that only one of them has spoken to.
+    # The epoch is written to the table of jobs too. An owner that was replaced
+    # without noticing reads it in its feed of jobs before any job accepted
+    # later, at no extra call. Otherwise both owners would start the tasks of
+    # such a job, on workers that only one of them has contacted.
     transaction = Transaction(
         shell.config.unit.part,
         (
@@ -105,7 +110,7 @@
 
 
 def _encode_lease(lease: LeaseRecord, shell: UnitShell) -> bytes:
-    """Return a lease that tells how long the store takes to answer."""
+    """Encode a lease, with the store's usual answer time added."""
     answer_ms = int(shell.answer_times.usual_s * _MS)
     return encode(attrs.evolve(lease, answer_ms=answer_ms))
 
@@ -163,14 +168,14 @@
 
 
 async def _run_release(effect: fx.ReleaseLease, shell: UnitShell) -> None:
-    known = await make_known_writes(effect, shell)
+    record_writes = await make_known_writes(effect, shell)
     transaction = _make_lease_transaction(
         effect.lease, effect.epoch_version, shell
     )
-    # The epoch's row gets a new version: a renewal that the store carries
-    # out late would take the release back, and the unit would have nobody
-    # until that lease lapses too. The lease's own version keeps a release
-    # from being done late, after its owner has gone on.
+    # The write of the epoch row makes a delayed renewal fail. Such a renewal
+    # would revert the release, and the unit would have no owner until that
+    # lease lapses. The condition on the lease row makes a delayed release fail
+    # if its owner has renewed the lease since.
     transaction = attrs.evolve(
         transaction,
         conditions=(
@@ -180,7 +185,7 @@
         writes=(
             *transaction.writes,
             RowWrite(UNITS_TABLE, EPOCH_KEY, encode(effect.epoch)),
-            *known,
+            *record_writes,
         ),
     )
     began_ms = shell.clock()
@@ -197,7 +202,7 @@
         reason = error.message
         is_unsure = isinstance(error, AnswerLostError)
     else:
-        reason = '' if result.is_done else 'its rows have other versions'
+        reason = '' if result.is_done else 'row versions have changed'
     fields = {
         'unit': shell.config.unit.number,
         'epoch': effect.epoch.epoch,
@@ -212,7 +217,7 @@
         )
     else:
         logger.info('unit released', **fields)
-    is_ours, lease_version = _find_kept(effect, result)
+    is_ours, lease_version = _check_ownership(effect, result)
     shell.post(
         ev.LeaseReleased(
             shell.clock(),
@@ -224,10 +229,13 @@
     )
 
 
-def _find_kept(
+def _check_ownership(
     effect: fx.ReleaseLease, result: TransactionResult | None
 ) -> tuple[bool, int]:
-    """Return whether the unit is ours, and its lease's version if told."""
+    """Return whether the unit is still owned, and its lease version.
+
+    The version is 0 if unknown.
+    """
     if result is None:
         return True, 0
     met = {row.key: row.version for row in result.rows}
@@ -250,8 +258,8 @@
     try:
         await shell.ports.store.transact(transaction)
     except UnavailableError as error:
-        # A newer one is kept some seconds later.
-        logger.info('model not kept', reason=error.message)
+        # A newer model is written some seconds later.
+        logger.info('model not persisted', reason=error.message)
     shell.post(ev.ModelKept(shell.clock()))
 
 
@@ -277,7 +285,7 @@
             for write in effect.writes
         ),
     )
-    # Until the unit is lost: nothing else would be kept of it after this.
+    # Retried until the unit is lost: no other commit starts before the result.
     result = await transact_surely(
         shell.ports.store, transaction, math.inf, shell.answer_times
     )
@@ -302,7 +310,7 @@
         ),
         (RowWrite(UNITS_TABLE, ROSTER_KEY, encode(effect.roster)),),
     )
-    # Until the unit is lost: nothing else would be kept of it after this.
+    # Retried until the unit is lost: no other commit starts before the result.
     result = await transact_surely(
         shell.ports.store, transaction, math.inf, shell.answer_times
     )
@@ -323,10 +331,10 @@
 
 
 async def _run_remove(effect: fx.RemoveJobs, shell: UnitShell) -> None:
-    """Remove jobs first, and their progress only once they are gone.
+    """Remove the rows of jobs, then the progress of these jobs.
 
-    A job without progress would be run again by the next owner, while
-    progress without its job does nothing.
+    The next owner would run a job without progress again, while progress
+    without a job has no effect.
     """
     unit = shell.config.unit
     removals: dict[str, list[RowWrite]] = {}
@@ -355,7 +363,7 @@
         for transaction in transactions:
             await shell.ports.store.transact(transaction)
     except UnavailableError as error:
-        # They stay in the store until another owner removes them.
+        # The rows stay in the store until the next owner removes them.
         logger.warning('jobs not removed', reason=error.message)
 
 
@@ -365,8 +373,11 @@
 
 
 async def _run_pass(effect: fx.PassTasks, shell: UnitShell) -> None:
-    """Tell a unit of its tasks; the job's home knows where to cancel."""
-    await _write_surely(
+    """Write transferred tasks to their unit, and that unit to the home row.
+
+    A cancel reads in the home row which units to notify.
+    """
+    await _write_until_done(
         functools.partial(_make_pass, effect, shell),
         shell,
         'pass tasks',
@@ -376,13 +387,16 @@
     )
 
 
-async def _write_surely(
+async def _write_until_done(
     make: t.Callable[[], t.Awaitable[Transaction | None]],
     shell: UnitShell,
     what: str,
     **fields: t.Any,
 ) -> None:
-    """Write what other units are told, made anew for each try."""
+    """Retry a transaction, built by ``make`` for each attempt, until done.
+
+    ``make`` returns None if nothing is left to write.
+    """
     while True:
         try:
             transaction = await make()
@@ -391,22 +405,25 @@
             result = await transact_surely(
                 shell.ports.store,
                 transaction,
-                _PASS_LIMIT_S,
+                _TRANSFER_LIMIT_S,
                 shell.answer_times,
             )
         except UnavailableError as error:
-            logger.warning(f'{what}: not yet', reason=error.message, **fields)
-            await trio.sleep(_PASS_PAUSE_S)
+            logger.warning(f'{what}: retry', reason=error.message, **fields)
+            await trio.sleep(_TRANSFER_RETRY_PAUSE_S)
             continue
         if result.is_done:
-            logger.info(f'{what}: told', version=result.version, **fields)
+            logger.info(f'{what}: done', version=result.version, **fields)
             return
 
 
 async def _make_pass(
     effect: fx.PassTasks, shell: UnitShell
 ) -> Transaction | None:
-    """Return what is still to be written; nothing if all of it was."""
+    """Build the transaction for a transfer; None if nothing is to be written.
+
+    The tasks are merged into a record of earlier transfers, if there is one.
+    """
     part = get_jobs_part(effect.job_id)
     table = Unit(effect.unit).jobs_table
     key = f'{effect.job_id}{GUEST_SUFFIX}'
@@ -416,27 +433,28 @@
     home = read_record(home_row, HomeRecord)
     if home is None or home.is_cancelled or home.is_failed:
         return None
-    known = read_record(guest_row, GuestRecord)
-    if is_unreadable(guest_row, known):
-        # It may tell of tasks that others have passed on, which would be
-        # lost with it. They are told again with the job's next progress.
+    stored = read_record(guest_row, GuestRecord)
+    if is_unreadable(guest_row, stored):
+        # The row may hold tasks that other units transferred, which would be
+        # lost if it were replaced. This transfer is repeated with the job's
+        # next progress.
         return None
     record = effect.record
-    if known is not None:
+    if stored is not None:
         newer = {
             name: number
             for name, number in record.passes.items()
-            if number > known.passes.get(name, 0)
+            if number > stored.passes.get(name, 0)
         }
         if not newer:
             return None
         runs = {name: record.runs[name] for name in newer}
         record = attrs.evolve(
-            known,
-            passes={**known.passes, **newer},
-            runs={**known.runs, **runs},
-            begun=tuple(sorted({*known.begun, *record.begun})),
-            crashes={**known.crashes, **record.crashes},
+            stored,
+            passes={**stored.passes, **newer},
+            runs={**stored.runs, **runs},
+            begun=tuple(sorted({*stored.begun, *record.begun})),
+            crashes={**stored.crashes, **record.crashes},
         )
     if effect.unit not in home.units:
         guests = (*home.guest_units, effect.unit)
@@ -460,8 +478,8 @@
 
 
 async def _run_fail(effect: fx.FailJob, shell: UnitShell) -> None:
-    """Tell all units that know a job of its failure, as of a cancel."""
-    await _write_surely(
+    """Mark a job as failed in all units that hold tasks of it."""
+    await _write_until_done(
         functools.partial(_make_failure, effect, shell),
         shell,
         'fail job',
@@ -472,7 +490,10 @@
 async def _make_failure(
     effect: fx.FailJob, shell: UnitShell
 ) -> Transaction | None:
-    """Return what tells of a failure; nothing if that was told, or is moot."""
+    """Build the transaction that marks a job as failed.
+
+    Returns None if the job is marked as failed or cancelled already.
+    """
     part = get_jobs_part(effect.job_id)
     row = await read_row(shell.ports.store, HOMES_TABLE, part, effect.job_id)
     home = read_record(row, HomeRecord)
--- a/src/tulippin/jobs/_rows.py
+++ b/src/tulippin/jobs/_rows.py
@@ -1,4 +1,4 @@
-"""Records read from the store's rows."""
+"""Reading and validation of records in the store's rows."""
 
 from __future__ import annotations
 
@@ -12,12 +12,15 @@
 from tulippin.logs import logger
 
 Record = t.TypeVar('Record')
-# A row may have thousands of odd parts.
-_MOST_TOLD: t.Final = 8
+# A row may have thousands of invalid parts.
+_MAX_LOGGED_PARTS: t.Final = 8
 
 
 def read_record(row: StoredRow | None, kind: type[Record]) -> Record | None:
-    """Return a row's record; nothing if it is absent or of no use."""
+    """Return a row's record, or None if it is absent or invalid.
+
+    Invalid parts that are only advisory are dropped from the record.
+    """
     if row is None or row.value is None:
         return None
     try:
@@ -25,39 +28,42 @@
     except InputError as error:
         log_unreadable(row, error.message)
         return None
-    record, dropped = _drop(record)
-    for reason in dropped[:_MOST_TOLD]:
+    record, dropped = _drop_invalid_parts(record)
+    for reason in dropped[:_MAX_LOGGED_PARTS]:
         log_unreadable(row, reason, 'row part unreadable')
-    fault = _check(record)
+    fault = _check_record(record)
     if fault:
         log_unreadable(row, fault)
         return None
     return record
 
 
-def _drop(record: Record) -> tuple[Record, tuple[str, ...]]:
-    """Return a record without unsound parts that only advise."""
+def _drop_invalid_parts(record: Record) -> tuple[Record, tuple[str, ...]]:
+    """Return a record without invalid advisory parts, and why each was."""
     try:
         return drop_faults(record)
     except Exception as error:
-        # Its check fails as well, and the whole record is refused.
+        # The check of the whole record fails as well, and refuses it.
         failures.tell('check failed', error, record=type(record).__name__)
         return record, ()
 
 
-def _check(record: Record) -> str:
-    """Return what makes a record useless; a check that fails says that."""
+def _check_record(record: Record) -> str:
+    """Return what makes a record invalid, or an empty text.
+
+    A check that raises an error makes it invalid too.
+    """
     try:
         return find_fault(record)
     except Exception as error:
         failures.tell('check failed', error, record=type(record).__name__)
-        return f'its check failed: {error!r}'
+        return f'check raised {error!r}'
 
 
 def log_unreadable(
     row: StoredRow, reason: str, what: str = 'row unreadable'
 ) -> None:
-    """Say that a row, or a part of it, is not used, and why."""
+    """Log that a row, or a part of it, is not used, and why."""
     logger.error(
         what,
         table=row.table,
@@ -69,19 +75,19 @@
 
 
 def is_unreadable(row: StoredRow | None, record: object) -> bool:
-    """Whether a row is there and gave no record."""
+    """Whether a row is present but its record could not be read."""
     return row is not None and row.value is not None and record is None
 
 
 async def read_row(
     store: RowStore, table: str, part: str, key: str
 ) -> StoredRow | None:
-    """Return one row of the store, or nothing if it is absent."""
+    """Return one row of the store, or None if it is absent."""
     # The smallest key above this one ends the range.
     page = await store.read_rows(table, part, key, f'{key}\0')
     return next((row for row in page.rows if row.key == key), None)
 
 
 def get_version(row: StoredRow | None) -> int:
-    """Return a row's version; 0 if it is absent."""
+    """Return a row's version, or 0 if it is absent."""
     return 0 if row is None or row.value is None else row.version
--- a/src/tulippin/jobs/_unit_feeds.py
+++ b/src/tulippin/jobs/_unit_feeds.py
@@ -1,4 +1,7 @@
-"""An owned unit's rows: loaded once, then followed."""
+"""Feeds of an owned unit: its jobs, its workers, and other units' models.
+
+All rows are loaded once; then changes are followed and posted as events.
+"""
 
 from __future__ import annotations
 
@@ -37,39 +40,39 @@
 if t.TYPE_CHECKING:
     from tulippin.jobs.unit_shell import UnitShell
 
-# How long a feed's call waits at the store for a change. A call whose
-# path was cut meanwhile is found out only when it should have returned, so
-# with the store's timeout this stays below the 3 s that the users allow
-# an instance after a cut.
+# How long a feed's call waits at the store for a change. A broken connection
+# is noticed only when the call should have returned, so this and the store's
+# timeout together stay below the 3 s in which an instance must recover from a
+# partition.
 FEED_WAIT_MS: t.Final = 1500
 FEED_PAUSE_S: t.Final = 0.1
-# What others learned is worth most while little is known, and some 10 KB
-# a unit.
+# A model takes some 10 KB for each unit, and is most useful early, while
+# little has been learned here.
 _MODELS_EVERY_S: t.Final = 2.0
-# The list of workers changes with every heartbeat, so it is read at a
-# pace: the bound on new work for a leaving worker is 2 s.
+# The list of workers changes with every heartbeat, so it is polled: a draining
+# worker must get no new task after 2 s.
 _WORKERS_EVERY_S: t.Final = 0.5
 
 
 async def read_jobs(
     store: RowStore, unit: Unit, pages: dict[str, RowPage] | None = None
 ) -> RowPage:
-    """Return all accepted and cancelled jobs of a unit.
+    """Return the rows of all accepted and cancelled jobs of a unit.
 
-    The parts are read side by side, each as of a moment of its own; the
-    version returned is that of the earliest, so that a feed from there on
-    tells all that a reading missed.
+    The parts are read concurrently, each at its own version of the store. The
+    lowest of these versions is returned, so that a feed from there on includes
+    every change that a read missed.
 
     Parameters
     ----------
     store : RowStore
-        Where they are.
+        The store to read.
     unit : Unit
-        Whose jobs.
+        The unit of the jobs.
     pages : dict of str to RowPage, optional
-        The parts that an earlier try has read, and then those of this one:
-        an instance that is too slow for all parts at once would begin anew
-        at each try, and hold the unit without ever loading it.
+        Parts that an earlier attempt has read; parts read now are added. An
+        instance that is too slow to read all parts in one attempt would
+        otherwise start over each time, and own the unit without loading it.
 
     Raises
     ------
@@ -98,18 +101,18 @@
 async def _find_row(
     store: RowStore, table: str, unit: Unit, key: str
 ) -> StoredRow | None:
-    """Return the row of a key; other writers' rows may stand beside it."""
+    """Return the row of a key among those of a unit's part, if present."""
     page = await store.read_rows(table, unit.part)
     return next((row for row in page.rows if row.key == key), None)
 
 
-def _name_present(*rows: StoredRow | None) -> tuple[str, ...]:
+def _list_row_names(*rows: StoredRow | None) -> tuple[str, ...]:
     return tuple(name_row(row) for row in rows if row is not None)
 
 
 @attrs.frozen
-class _HeardModel:
-    """What another owner has learned, and the row that tells it."""
+class _ReceivedModel:
+    """The model of another unit's owner, and the name of its row."""
 
     record: ModelRecord
     source: str
@@ -117,7 +120,7 @@
 
 @attrs.define
 class UnitFeeds:
-    """Follows a unit for as long as it is owned; ``scope`` ends it."""
+    """Loads and follows a unit while it is owned; ``scope`` cancels it."""
 
     shell: UnitShell
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
@@ -154,7 +157,7 @@
         account_row = await _find_row(store, ACCOUNTS_TABLE, unit, ACCOUNT_KEY)
         workers_read_ms = self.shell.clock()
         workers, version = await self.shell.ports.feeds.read_workers()
-        self._note_listed(workers, ())
+        self._update_listed(workers, ())
         own = {row.key: row for row in owned.rows}
         roster_row = own.get(ROSTER_KEY)
         roster = read_record(roster_row, RosterRecord)
@@ -171,12 +174,12 @@
             get_version(own.get(EPOCH_KEY)),
             read_record(account_row, AccountRecord),
             workers_read_ms,
-            _name_present(roster_row, model_row, account_row),
+            _list_row_names(roster_row, model_row, account_row),
         )
         return loaded, jobs.version, version
 
     def _read_model(self, row: StoredRow | None) -> ModelRecord | None:
-        """Return what was learned, unless it is set aside."""
+        """Return the persisted model, unless its row is excluded."""
         if row is None or not self.shell.takes(row):
             return None
         return read_record(row, ModelRecord)
@@ -192,7 +195,7 @@
                     page = await store.follow(
                         unit.jobs_table, after, FEED_WAIT_MS
                     )
-                    event = self._make_change(page)
+                    event = self._make_jobs_event(page)
                     after = page.version
             except HistoryLostError:
                 logger.info('feed restarts', feed='jobs')
@@ -206,8 +209,8 @@
             if event.rows or event.epoch_version:
                 self.shell.post(event)
 
-    def _make_change(self, page: RowPage) -> ev.JobsChanged:
-        """Tell jobs apart from the epoch of a newer owner."""
+    def _make_jobs_event(self, page: RowPage) -> ev.JobsChanged:
+        """Separate rows of jobs from the epoch row of a newer owner."""
         own = (self.shell.config.unit.part, EPOCH_KEY)
         epochs = [
             row.version for row in page.rows if (row.part, row.key) == own
@@ -217,10 +220,10 @@
         return ev.JobsChanged(self.shell.clock(), rows, newest)
 
     async def _read_jobs_again(self) -> tuple[ev.JobsChanged, int]:
-        """Read all jobs, then the epoch: it is no older than they are.
+        """Read all jobs, then the epoch, which is thus no older than the jobs.
 
-        Their progress comes along. A job whose removal failed is not known
-        any more, and would be run again as a new one.
+        Their progress is read too: a job whose removal from the store failed
+        is no longer in memory, and would be run again as a new one.
         """
         unit = self.shell.config.unit
         store = self.shell.ports.store
@@ -233,8 +236,8 @@
         return event, page.version
 
     async def _follow_models(self) -> None:
-        """Follow what the owners of other units learn."""
-        models: dict[str, _HeardModel] = {}
+        """Follow the models of other units' owners."""
+        models: dict[str, _ReceivedModel] = {}
         after = 0
         while True:
             await trio.sleep(_MODELS_EVERY_S)
@@ -243,15 +246,15 @@
             try:
                 after = await self._read_models(after, models)
             except HistoryLostError:
-                # What is missed is told anew with the next change.
-                after = await self._find_version(after)
+                # A missed model comes again with its next change.
+                after = await self._read_version(after)
             except UnavailableError as error:
                 self.shell.note_store(error)
 
     async def _read_models(
-        self, after: int, models: dict[str, _HeardModel]
+        self, after: int, models: dict[str, _ReceivedModel]
     ) -> int:
-        """Take in the models changed after a version; return the next."""
+        """Read and post models changed after a version; return the next."""
         page = await self.shell.ports.store.follow(MODELS_TABLE, after, 0)
         own_part = self.shell.config.unit.part
         for row in page.rows:
@@ -261,18 +264,18 @@
                 continue
             record = read_record(row, ModelRecord)
             if record is not None:
-                models[row.part] = _HeardModel(record, name_row(row))
+                models[row.part] = _ReceivedModel(record, name_row(row))
         if page.rows:
             event = ev.ModelsSeen(
                 self.shell.clock(),
-                tuple(heard.record for heard in models.values()),
-                tuple(heard.source for heard in models.values()),
+                tuple(model.record for model in models.values()),
+                tuple(model.source for model in models.values()),
             )
             self.shell.post(event)
         return page.version
 
-    async def _find_version(self, after: int) -> int:
-        """Return the store's version now; the one known if it is silent."""
+    async def _read_version(self, after: int) -> int:
+        """Return the store's current version, or ``after`` if unavailable."""
         part = self.shell.config.unit.part
         try:
             page = await self.shell.ports.store.read_rows(MODELS_TABLE, part)
@@ -290,8 +293,8 @@
                 if after < 0:
                     changed, after = await feeds.read_workers()
                     listed = {entry.worker_id for entry in changed}
-                    known = {*self.listed, *self.shell.state.workers}
-                    gone = tuple(known - listed)
+                    known_ids = {*self.listed, *self.shell.state.workers}
+                    gone = tuple(known_ids - listed)
                 else:
                     changed, gone, after = await feeds.follow_workers(after)
             except HistoryLostError:
@@ -301,10 +304,10 @@
             except UnavailableError as error:
                 self.shell.note_store(error)
                 continue
-            self._note_listed(changed, gone)
+            self._update_listed(changed, gone)
             self._post_workers(changed, gone, read_ms)
 
-    def _note_listed(
+    def _update_listed(
         self, changed: t.Iterable[WorkerEntry], gone: t.Iterable[str]
     ) -> None:
         self.listed.update((entry.worker_id, entry) for entry in changed)
@@ -317,10 +320,10 @@
         gone: t.Iterable[str],
         read_ms: int,
     ) -> None:
-        """Tell of the unit's own workers among those that changed."""
+        """Post the changes that concern the unit's own workers."""
         own = tuple(filter(self.shell.has_worker, changed))
-        known = self.shell.state.workers
-        lost = tuple(worker_id for worker_id in gone if worker_id in known)
+        workers = self.shell.state.workers
+        lost = tuple(worker_id for worker_id in gone if worker_id in workers)
         if own or lost:
             event = ev.WorkersChanged(self.shell.clock(), own, lost, read_ms)
             self.shell.post(event)
--- a/src/tulippin/jobs/_unit_rows.py
+++ b/src/tulippin/jobs/_unit_rows.py
@@ -1,4 +1,4 @@
-"""What the rows of a unit's own part tell of its owner."""
+"""Lease and epoch of a unit, as read from the rows of its own part."""
 
 from __future__ import annotations
 
@@ -22,10 +22,9 @@
 
 @attrs.define
 class UnitRows:
-    """The newest readings of lease and epoch.
+    """The newest lease and epoch that were read.
 
-    ``lease`` is the last lease that could be read, ``lease_seen_ms`` when
-    that was.
+    ``lease`` is the last valid lease, ``lease_seen_ms`` when it changed last.
     """
 
     lease: LeaseRecord | None = None
@@ -35,7 +34,7 @@
     _rows: dict[str, StoredRow] = attrs.field(factory=dict)
 
     def take(self, row: StoredRow, now_ms: int) -> None:
-        """Take in a changed row."""
+        """Process a changed row."""
         self._rows[row.key] = row
         if row.key == LEASE_KEY:
             self._take_lease(row, now_ms)
@@ -43,14 +42,14 @@
             self._epoch = _read_epoch(row)
 
     def _take_lease(self, row: StoredRow, now_ms: int) -> None:
-        """Read the lease; what it told last counts while it is unreadable."""
+        """Read the lease; keep the last valid one while it is unreadable."""
         self._newest = read_record(row, LeaseRecord)
         if self._newest != self.lease and not is_unreadable(row, self._newest):
             self.lease_seen_ms = now_ms
             self.lease = self._newest
 
     def make_event(self, now_ms: int) -> ev.LeaseSeen:
-        """Return what the reducer is told of them."""
+        """Return the event that reports lease and epoch to the reducer."""
         return ev.LeaseSeen(
             now_ms,
             self._newest,
@@ -61,15 +60,15 @@
 
 
 def _read_epoch(row: StoredRow) -> EpochRecord | None:
-    """Return the epoch; one above all that were, if it can't be read.
+    """Return the epoch, or an upper bound if its row can't be read.
 
-    Each taking raises the epoch by one and the store's version by one or
-    more, so that no epoch is above the version of its row. A lower one than
-    workers have met would be fenced, by all of them.
+    Each takeover raises the epoch by one and the store's version by at least
+    one, so the row's version is an upper bound. An epoch below one that
+    workers have received would be fenced by all of them.
     """
     record = read_record(row, EpochRecord)
     if record is not None and not 0 < record.epoch <= row.version:
-        log_unreadable(row, f'its epoch is {record.epoch}')
+        log_unreadable(row, f'epoch out of range: {record.epoch}')
         record = None
     if is_unreadable(row, record):
         return EpochRecord(row.version, '')
--- a/src/tulippin/jobs/_unit_watch.py
+++ b/src/tulippin/jobs/_unit_watch.py
@@ -1,4 +1,8 @@
-"""Following the layout and every unit's lease, by one feed."""
+"""Feed of the layout and of every unit's lease.
+
+It also writes the layout: one instance makes the first one, and the owner of
+the first unit extends it to new racks.
+"""
 
 from __future__ import annotations
 
@@ -37,38 +41,39 @@
     from tulippin.jobs.shell import SchedulerShell
 
 _MS: t.Final = 1000
-# Several owners renew twice a second each; their rows are read together.
-_PACE_S: t.Final = 0.45
-# The first layout is made once the list of workers has stood still for
-# so long, and after the limit in any case: workers write every 1.1 s, the
-# first time when they start.
+# Pause between two reads. Each owner renews twice a second, so a pause lets
+# one read return the renewals of several owners.
+_READ_PAUSE_S: t.Final = 0.45
+# The first layout is made once the list of workers has not changed for the
+# first of these times, or after the second one at the latest. Workers write
+# their entry when they start and then every 1.1 s.
 _SETTLE_S: t.Final = 1.2
 _SETTLE_LIMIT_S: t.Final = 4.0
-_LOOK_EVERY_S: t.Final = 0.3
-# Spreads the instances that would make the first layout at once.
-_SPREAD_MS: t.Final = 1000
+_SETTLE_CHECK_EVERY_S: t.Final = 0.3
+# Jitter, so that not all instances make the first layout at the same time.
+_LAYOUT_JITTER_MS: t.Final = 1000
 _WRITE_LIMIT_S: t.Final = 1.0
-# How often the first unit's owner looks for racks without a unit.
+# How often the first unit's owner checks for racks without a unit.
 _EXTEND_EVERY_S: t.Final = 1.0
 
 
 @attrs.define
 class UnitWatch:
-    """Tells an instance's shell of the layout and of the units' leases."""
+    """Passes the layout and the units' rows to an instance's shell."""
 
     shell: SchedulerShell
     layout_row: StoredRow | None = None
-    is_layout_wrong: bool = False
+    is_layout_invalid: bool = False
     after: int = -1
 
     async def run(self) -> None:
-        """Follow the units' table for good."""
+        """Follow the table of units until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._extend)
+            nursery.start_soon(self._extend_layout)
             while True:
-                await self._turn()
+                await self._read_once()
 
-    async def _turn(self) -> None:
+    async def _read_once(self) -> None:
         try:
             if self.after < 0:
                 await self._read_all()
@@ -82,36 +87,38 @@
             await trio.sleep(FEED_PAUSE_S)
         else:
             self.shell.note_store()
-            self._tell_rooms()
+            self._post_capacities()
             await self._pause()
 
-    def _tell_rooms(self) -> None:
-        """Tell each unit owned here what room the others have."""
+    def _post_capacities(self) -> None:
+        """Post to each unit owned here the capacity of the other units."""
         units = self.shell.units
         for unit in units.values():
             if not unit.is_owner or len(units) < 2:
                 continue
             rooms = {
-                number: one.lease.room
-                for number, one in units.items()
-                if one is not unit and one.lease and not one.lease.released
+                number: other.lease.room
+                for number, other in units.items()
+                if other is not unit
+                and other.lease
+                and not other.lease.released
             }
             unit.post(ev.RoomsSeen(self.shell.clock(), rooms))
 
     async def _pause(self) -> None:
         units = self.shell.units.values()
         if all(unit.is_owner for unit in units):
-            # Only this instance renews: nothing new is to be told.
+            # No other instance renews a lease, so no changes are expected.
             await trio.sleep(FEED_WAIT_MS / _MS)
         elif len(units) > 1:
-            await trio.sleep(_PACE_S)
+            await trio.sleep(_READ_PAUSE_S)
 
     async def _read_all(self) -> None:
         store = self.shell.ports.store
         page = await store.read_rows(UNITS_TABLE, LAYOUT_PART)
         self._take_layout(page.rows)
         if self.layout_row is None:
-            await self._make_first()
+            await self._make_first_layout()
             return
         after = page.version
         for number in self.shell.units:
@@ -131,15 +138,15 @@
             if rows:
                 unit.see_rows(rows)
         is_new = any(unit.lease is None for unit in self.shell.units.values())
-        # Rows of a unit that was not known yet came before its layout.
+        # The rows of a new unit may have preceded the layout that adds it.
         self.after = -1 if is_new and not page.rows else page.version
 
     def _take_layout(self, rows: t.Iterable[StoredRow]) -> None:
-        """Know the layout; one that can't be read leaves the last in force.
+        """Apply a changed layout; the last valid one stays in force otherwise.
 
-        A new one is never made in its place: a rack that changed its unit
-        would have two owners. The first unit's owner writes the one that it
-        knows over it.
+        An invalid layout is never replaced by a newly made one: a rack that
+        changed its unit would have two owners. The owner of the first unit
+        overwrites it with the last valid one.
         """
         for row in rows:
             if row.key != LAYOUT_KEY or row.value is None:
@@ -149,56 +156,59 @@
             if layout is not None and self._moves_rack(layout):
                 log_unreadable(row, 'a rack has changed its unit')
                 layout = None
-            self.is_layout_wrong = layout is None
+            self.is_layout_invalid = layout is None
             if layout is not None:
                 self.shell.take_layout(layout)
 
     def _moves_rack(self, layout: LayoutRecord) -> bool:
-        """Whether a rack that is known has another unit in a layout."""
-        known = self.shell.layout.racks if self.shell.layout else {}
+        """Whether a layout assigns a known rack to another unit."""
+        racks = self.shell.layout.racks if self.shell.layout else {}
         return any(
-            layout.racks.get(rack, unit) != unit for rack, unit in known.items()
+            layout.racks.get(rack, unit) != unit for rack, unit in racks.items()
         )
 
-    def _keep_named(
+    def _filter_configured(
         self, entries: t.Iterable[WorkerEntry]
     ) -> list[WorkerEntry]:
-        """Return the workers of services that the configuration names."""
-        known = self.shell.configuration
+        """Return the workers whose service is in the configuration."""
+        configuration = self.shell.configuration
         return [
             entry
             for entry in entries
-            if known is None or entry.service in known.service_names
+            if configuration is None
+            or entry.service in configuration.service_names
         ]
 
     # -- making the layout -------------------------------------------------
 
-    async def _make_first(self) -> None:
-        """Divide the workers that are listed into units."""
-        spread = zlib.crc32(self.shell.config.instance_id.encode())
-        await trio.sleep(spread % _SPREAD_MS / _MS)
+    async def _make_first_layout(self) -> None:
+        """Make the first layout from the listed workers, if there is none."""
+        jitter = zlib.crc32(self.shell.config.instance_id.encode())
+        await trio.sleep(jitter % _LAYOUT_JITTER_MS / _MS)
         feeds = self.shell.ports.feeds
         entries, _ = await feeds.read_workers()
-        since = began = trio.current_time()
-        while not await self._is_made():
+        unchanged_since = began_at = trio.current_time()
+        while not await self._has_layout():
             now = trio.current_time()
-            is_settled = bool(entries) and now - since >= _SETTLE_S
-            if is_settled or now - began >= _SETTLE_LIMIT_S:
-                await self._write(make_layout(self._keep_named(entries)))
+            is_settled = bool(entries) and now - unchanged_since >= _SETTLE_S
+            if is_settled or now - began_at >= _SETTLE_LIMIT_S:
+                await self._write_layout(
+                    make_layout(self._filter_configured(entries))
+                )
                 return
-            await trio.sleep(_LOOK_EVERY_S)
-            known = {entry.worker_id for entry in entries}
+            await trio.sleep(_SETTLE_CHECK_EVERY_S)
+            worker_ids = {entry.worker_id for entry in entries}
             entries, _ = await feeds.read_workers()
-            if known != {entry.worker_id for entry in entries}:
-                since = trio.current_time()
+            if worker_ids != {entry.worker_id for entry in entries}:
+                unchanged_since = trio.current_time()
 
-    async def _is_made(self) -> bool:
-        """Whether another instance has made the layout."""
+    async def _has_layout(self) -> bool:
+        """Whether another instance has written a layout."""
         store = self.shell.ports.store
         page = await store.read_rows(UNITS_TABLE, LAYOUT_PART)
         return bool(page.rows)
 
-    async def _write(self, layout: LayoutRecord) -> None:
+    async def _write_layout(self, layout: LayoutRecord) -> None:
         version = get_version(self.layout_row)
         transaction = Transaction(
             LAYOUT_PART,
@@ -219,19 +229,21 @@
             replaced_version=version,
         )
 
-    async def _extend(self) -> None:
-        """Give new racks a unit; the first unit's owner does that."""
+    async def _extend_layout(self) -> None:
+        """Assign new racks to units while this instance owns the first one."""
         while True:
             await trio.sleep(_EXTEND_EVERY_S)
             unit = self.shell.units.get(0)
             if unit is None or not unit.is_owner:
                 continue
-            known = self.shell.layout.racks
-            listed = self._keep_named(unit.listed_workers.values())
+            known_racks = self.shell.layout.racks
+            listed = self._filter_configured(unit.listed_workers.values())
             racks = {get_rack(entry) for entry in listed}
-            if racks <= set(known) and not self.is_layout_wrong:
+            if racks <= set(known_racks) and not self.is_layout_invalid:
                 continue
             try:
-                await self._write(extend_layout(self.shell.layout, listed))
+                await self._write_layout(
+                    extend_layout(self.shell.layout, listed)
+                )
             except UnavailableError as error:
                 self.shell.note_store(error)
--- a/src/tulippin/jobs/_worker_effects.py
+++ b/src/tulippin/jobs/_worker_effects.py
@@ -1,4 +1,4 @@
-"""Effects on workers: holds, orders, and questions about them."""
+"""Performs effects on workers: holds, orders and requests for advice."""
 
 from __future__ import annotations
 
@@ -66,10 +66,10 @@
 
 
 async def _run_start(effect: fx.StartRun, shell: UnitShell) -> None:
-    """Send an order, unless this instance stood still since it was given.
+    """Send a start order, unless it has expired.
 
-    Whoever was suspended may have been succeeded: what was decided before
-    is decided anew, once the time was read again.
+    It expires if the process was suspended since the decision. Another
+    instance may own the unit by then, so the reducer has to decide again.
     """
     order = effect.order
     if shell.clock() > effect.expires_ms:
--- a/src/tulippin/jobs/core.py
+++ b/src/tulippin/jobs/core.py
@@ -1,6 +1,6 @@
-"""The reducer of the job scheduler: events in, effects out.
+"""The reducer of the job scheduler, which maps events to effects.
 
-``reduce`` reads no clock, no random source and no socket.
+``reduce`` is deterministic: it reads no clock, random source or socket.
 """
 
 from __future__ import annotations
@@ -37,29 +37,29 @@
 
 __all__ = ('make_state', 'reduce')
 
-# Imported for the handlers that they register alone.
+# Imported only for the handlers that they register.
 HANDLER_MODULES: t.Final = (_reports,)
 
 
 def make_state(config: SchedulerConfig) -> SchedulerState:
-    """Return the state of an instance that has just started."""
+    """Return the initial state of a unit's scheduler."""
     return SchedulerState(config)
 
 
 def reduce(state: SchedulerState, event: JobEvent) -> tuple[JobEffect, ...]:
-    """Take one event, change the state, and return the effects.
+    """Handle one event, change the state, and return the effects.
 
     Parameters
     ----------
     state : SchedulerState
         Changed in place.
     event : JobEvent
-        What happened, with the time of its handling.
+        The event, with the time of its handling.
 
     Returns
     -------
     tuple of JobEffect
-        What the shell is to do, in this order.
+        The effects that the shell performs, in this order.
     """
     context = Context(state)
     gap_ms = event.at_ms - state.now_ms
@@ -71,21 +71,21 @@
     else:
         handle(event, context)
     if state.ownership.phase is Phase.STANDING_BY:
-        # Most units of most instances: there is nothing to decide.
+        # An instance stands by for most units and decides nothing for them.
         return tuple(context.effects)
     if isinstance(event, WorkerAnswered) and context.may_order:
-        _judge_report(event, context)
+        _evaluate_report(event, context)
     is_tick = isinstance(event, Ticked)
     _placing.place(context, is_tick=is_tick)
     if is_tick:
-        _run_ticks(context)
+        _run_periodic_work(context)
     _committing.commit_if_due(context)
     _workers.hold_all(context)
     return tuple(context.effects)
 
 
-def _run_ticks(context: Context) -> None:
-    """Do what time alone makes due, after all that is due was placed."""
+def _run_periodic_work(context: Context) -> None:
+    """Run periodic work, after all ready tasks have been placed."""
     _pacing.tick(context)
     _giving_up.tick(context)
     _spares.tick(context)
@@ -95,8 +95,8 @@
     _refusals.tell(context)
 
 
-def _judge_report(event: WorkerAnswered, context: Context) -> None:
-    """Learn from a worker's report, and act on what it shows."""
+def _evaluate_report(event: WorkerAnswered, context: Context) -> None:
+    """Update model, worker health and paces from a worker's report."""
     worker = context.state.workers.get(event.worker_id)
     if worker is not None:
         _advising.learn(worker, event, context)
@@ -135,7 +135,7 @@
 @handle.register
 def _configure(event: ConfigurationChanged, context: Context) -> None:
     state = context.state
-    known = state.configuration
-    if known is not None and event.configuration.version <= known.version:
+    current = state.configuration
+    if current is not None and event.configuration.version <= current.version:
         return
     state.configuration = event.configuration
--- a/src/tulippin/jobs/effects.py
+++ b/src/tulippin/jobs/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the job scheduler, as data for the shell to perform."""
+"""Effects of the job scheduler: data that describes what the shell does."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class TellFailure(JobEffect):
-    """Tell of an error that was contained, and what was at work."""
+    """Report an error that was contained, and what raised it."""
 
     what: str
     error: Exception
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class TakeUnit(JobEffect):
-    """Become the owner if the rows are still as they were seen."""
+    """Become the owner if lease and epoch rows have not changed."""
 
     lease: LeaseRecord
     lease_version: int
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class RenewLease(JobEffect):
-    """Renew the lease if the epoch's row is still ours."""
+    """Renew the lease if the epoch row is still this owner's."""
 
     lease: LeaseRecord
     epoch_version: int
@@ -53,12 +53,13 @@
 
 @attrs.frozen
 class ReleaseLease(JobEffect):
-    """Give the unit up, in a planned way, with what is known of it.
+    """Release the unit in a planned way, with data for the next owner.
 
-    Model and account are absent where the unit had not been loaded.
-    ``unused_ms`` tells then for how long it was held: no order was given,
-    and the last owner's account is handed on. ``lease_version`` is that of
-    the lease's row: any later renewal keeps this from being done late.
+    ``model`` and ``account``, the release report, are None if the unit was not
+    loaded. ``unused_ms`` is then the time for which it was owned; as no order
+    was given, the previous owner's release report is handed over.
+    ``lease_version`` is that of the lease row: after any later renewal, a
+    delayed release has no effect.
     """
 
     lease: LeaseRecord
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class KeepModel(JobEffect):
-    """Keep what was learned for the next owner."""
+    """Persist the model for the next owner."""
 
     model: ModelRecord
     epoch_version: int
@@ -80,7 +81,7 @@
 
 @attrs.frozen
 class LoadUnit(JobEffect):
-    """Read all that is durable of the unit, then follow its changes."""
+    """Read all durable data of the unit, then follow its changes."""
 
 
 @attrs.frozen
@@ -90,7 +91,7 @@
 
 @attrs.frozen
 class ProgressWrite:
-    """A job's progress and the version of the row that it replaces."""
+    """A job's progress, and the version of the row that it replaces."""
 
     job_id: str
     record: ProgressRecord
@@ -99,7 +100,11 @@
 
 @attrs.frozen
 class CommitProgress(JobEffect):
-    """Make progress durable; then ends up to these may be forgotten."""
+    """Write progress of jobs.
+
+    ``ends`` holds, by worker, the number up to which ends of runs may be
+    acknowledged once the write is durable.
+    """
 
     writes: tuple[ProgressWrite, ...]
     ends: dict[str, int]
@@ -108,7 +113,7 @@
 
 @attrs.frozen
 class PassTasks(JobEffect):
-    """Give tasks to another unit, which this one will not start again."""
+    """Transfer tasks to another unit; this one no longer starts them."""
 
     job_id: str
     unit: int
@@ -117,7 +122,7 @@
 
 @attrs.frozen
 class FailJob(JobEffect):
-    """Tell all units that know a job that it has failed."""
+    """Mark a job as failed in all units that hold tasks of it."""
 
     job_id: str
     reason: str
@@ -125,7 +130,7 @@
 
 @attrs.frozen
 class CommitRoster(JobEffect):
-    """Keep on which workers the owner's orders may have effect."""
+    """Write the roster: the workers where orders may have effect."""
 
     roster: RosterRecord
     roster_version: int
@@ -134,7 +139,10 @@
 
 @attrs.frozen
 class RemoveJobs(JobEffect):
-    """Forget jobs that ended long ago; guests' homes forget theirs."""
+    """Remove jobs that ended long ago from the store.
+
+    ``guest_ids`` are transferred jobs, whose home unit removes the rest.
+    """
 
     job_ids: tuple[str, ...]
     epoch_version: int
@@ -155,7 +163,7 @@
 
 @attrs.frozen
 class StartRun(JobEffect):
-    """Send an order to start a run, but not after ``expires_ms``."""
+    """Send an order to start a run, unless ``expires_ms`` has passed."""
 
     order: StartOrder
     expires_ms: int
@@ -174,7 +182,7 @@
 
 @attrs.frozen
 class PaceRun(JobEffect):
-    """Let a run work at a share of its speed."""
+    """Send an order to set the pace of a run."""
 
     worker_id: str
     address: str
@@ -186,7 +194,7 @@
 
 @attrs.frozen
 class AskAdvice(JobEffect):
-    """Ask which of some workers may run a step."""
+    """Ask the advisor which of some workers may run a step."""
 
     step: tuple[str, int, int]
     worker_ids: tuple[str, ...]
@@ -201,7 +209,7 @@
 
 @attrs.frozen
 class LogDecision(JobEffect):
-    """Write one line: what was decided, about what, by which inputs."""
+    """Log a decision with its subject and inputs."""
 
     decision: str
     fields: dict[str, t.Any]
--- a/src/tulippin/jobs/events.py
+++ b/src/tulippin/jobs/events.py
@@ -1,4 +1,4 @@
-"""Events of the job scheduler; each carries the time of its handling."""
+"""Events of the job scheduler, the inputs of its reducer."""
 
 from __future__ import annotations
 
@@ -28,28 +28,32 @@
 
 @attrs.frozen
 class JobEvent:
-    """Base of all events; ``at_ms`` is monotonic and counts suspension."""
+    """Base of all events.
+
+    ``at_ms`` is the time when the event is handled, by a monotonic clock that
+    includes suspension. Until then it is the time when the event was posted.
+    """
 
     at_ms: int
 
 
 @attrs.frozen
 class Ticked(JobEvent):
-    """Time has passed; ``wall_ms`` is the time of day."""
+    """A tick of the clock; ``wall_ms`` is the time of day."""
 
     wall_ms: int
 
 
 @attrs.frozen
 class ConfigurationChanged(JobEvent):
-    """The operators' configuration, at least as new as any before."""
+    """The operators' configuration was read, at first or after a change."""
 
     configuration: Configuration
 
 
 @attrs.frozen
 class PolicyChanged(JobEvent):
-    """A bundle was rolled; its policy is in force from now on."""
+    """A bundle was rolled out; its policy is in force from now on."""
 
     number: int
     policy: Policy
@@ -57,7 +61,7 @@
 
 @attrs.frozen
 class LeaseSeen(JobEvent):
-    """The owner's rows as they stand; absent ones have version 0."""
+    """The current lease and epoch rows; absent ones have version 0."""
 
     lease: LeaseRecord | None
     lease_version: int
@@ -67,9 +71,10 @@
 
 @attrs.frozen
 class UnitTaken(JobEvent):
-    """The unit is ours, or another was first (no version).
+    """An attempt to take the unit has ended.
 
-    ``is_unsure``: the store did not tell, or took nothing.
+    ``version`` is that of the rows written, or 0 if the unit was not taken.
+    ``is_unsure`` says that the store gave no result or was unavailable.
     """
 
     epoch: int
@@ -79,11 +84,11 @@
 
 @attrs.frozen
 class LeaseRenewed(JobEvent):
-    """Whether the lease, as sent at a time, was renewed.
+    """An attempt to renew the lease, sent at ``sent_ms``, has ended.
 
-    ``is_fenced`` says that another owns the unit; neither flag means
-    that the store did not answer. ``epoch_version`` tells the ownership,
-    ``version`` that of the lease's row from then on.
+    ``is_fenced`` says that another instance owns the unit; if neither flag is
+    set, the store did not answer. ``epoch_version`` identifies the ownership,
+    and ``version`` is the new version of the lease row.
     """
 
     epoch_version: int
@@ -93,19 +98,19 @@
     version: int = 0
 
 
-# What an owner keeps or loses its unit by.
+# Events by which an instance takes, keeps or loses a unit.
 OWNERSHIP_EVENTS: t.Final = (Ticked, LeaseSeen, UnitTaken, LeaseRenewed)
 
 
 @attrs.frozen
 class UnitLoaded(JobEvent):
-    """All that is durable of the unit.
+    """All durable data of the unit was read.
 
-    ``epoch_version`` is that of the owner's epoch, read after the jobs: if
-    it is still ours, no later owner knew these jobs when they were read.
-    No roster: it can't be read, and tells of no worker. ``workers_read_ms``
-    is when the reading of the workers' list began. ``sources`` names the rows
-    that are not among these.
+    ``epoch_version`` is that of the epoch row, read after the jobs: if it is
+    still this owner's, no later owner knew these jobs when they were read.
+    ``roster`` is None if it can't be read, which doesn't mean that it is
+    empty. ``workers_read_ms`` is when the read of the list of workers began.
+    ``sources`` names the rows of roster, model and account.
     """
 
     jobs: tuple[StoredRow, ...]
@@ -122,11 +127,11 @@
 
 @attrs.frozen
 class JobsChanged(JobEvent):
-    """Jobs were accepted or cancelled.
+    """Jobs were accepted, cancelled, transferred to this unit or abandoned.
 
     ``epoch_version`` is the newest version at which an owner took the unit
-    among the changes up to these rows; 0 says that none did. ``progress``
-    comes along where all rows were read anew.
+    among the changes up to these rows, or 0 if none did. ``progress`` is
+    included when all rows were read again.
     """
 
     rows: tuple[StoredRow, ...]
@@ -138,8 +143,9 @@
 class WorkersChanged(JobEvent):
     """The platform's list of workers has changed.
 
-    ``read_ms`` is when its reading began: what stood still meanwhile, or
-    waited in the inbox, takes it for no newer than that.
+    ``read_ms`` is when the read of the list began. The entries count as no
+    newer than that, also if the process was suspended or the event waited in
+    the inbox since.
     """
 
     changed: tuple[WorkerEntry, ...]
@@ -149,7 +155,7 @@
 
 @attrs.frozen
 class WorkerAnswered(JobEvent):
-    """A worker's report, to a hold sent at a time."""
+    """A worker answered a hold, sent at ``sent_ms``, with its report."""
 
     worker_id: str
     sent_ms: int
@@ -160,8 +166,8 @@
 class WorkerSilent(JobEvent):
     """A hold brought no report.
 
-    ``is_fenced``: a newer owner was there. ``is_replaced``: another life
-    of the worker answers.
+    ``is_fenced`` says that the worker has received orders of a newer owner,
+    ``is_replaced`` that another incarnation of the worker answers.
     """
 
     worker_id: str
@@ -172,7 +178,7 @@
 
 @attrs.frozen
 class StartAnswered(JobEvent):
-    """What came of an order to start a run."""
+    """An order to start a run has its outcome."""
 
     worker_id: str
     key: TaskKey
@@ -182,7 +188,7 @@
 
 @attrs.frozen
 class StopAnswered(JobEvent):
-    """What came of an order to stop a run."""
+    """An order to stop a run has its outcome."""
 
     worker_id: str
     key: TaskKey
@@ -192,7 +198,7 @@
 
 @attrs.frozen
 class PaceAnswered(JobEvent):
-    """What came of an order to pace a run."""
+    """An order to set the pace of a run has its outcome."""
 
     worker_id: str
     key: TaskKey
@@ -203,7 +209,7 @@
 
 @attrs.frozen
 class AdviceAnswered(JobEvent):
-    """Which workers may run a step; ``valid_ms`` 0 is no answer."""
+    """Tickets, by worker, for a step; ``valid_ms`` is 0 without an answer."""
 
     step: tuple[str, int, int]
     tickets: dict[str, str]
@@ -212,7 +218,7 @@
 
 @attrs.frozen
 class ProgressCommitted(JobEvent):
-    """A commit is durable, or the unit has another owner."""
+    """A commit of progress is durable, or the unit has another owner."""
 
     commit: CommitProgress
     version: int
@@ -231,19 +237,19 @@
 
 @attrs.frozen
 class RoomsSeen(JobEvent):
-    """What the owners of the other units tell of their room."""
+    """The capacity that the owners of other units publish was read."""
 
     rooms: dict[int, UnitRoom]
 
 
 @attrs.frozen
 class ModelKept(JobEvent):
-    """What was learned is kept, or could not be now."""
+    """An attempt to persist the model has ended, with or without success."""
 
 
 @attrs.frozen
 class ModelsSeen(JobEvent):
-    """What the owners of the other units have learned, by these rows."""
+    """The models of other units' owners were read from the named rows."""
 
     models: tuple[ModelRecord, ...]
     sources: tuple[str, ...] = ()
@@ -251,23 +257,25 @@
 
 @attrs.frozen
 class StopRequested(JobEvent):
-    """The instance is to stop in a planned way."""
+    """The instance was asked for a planned stop."""
 
 
 @attrs.frozen
 class LeaseReleased(JobEvent):
-    """How a try to give the unit up has ended.
+    """An attempt to release the unit has ended.
 
     Parameters
     ----------
     epoch_version : int
-        Tells the ownership.
+        Identifies the ownership.
     is_done : bool
-        The unit is not ours any more.
+        Whether the instance no longer owns the unit.
     is_unsure : bool
-        It may be so, or become so later, if no renewal is done before.
+        Whether the release may be carried out, now or later, unless a renewal
+        is carried out before it.
     lease_version : int
-        That of the lease's row, where it is not the one that was told.
+        The current version of the lease row if it differs from the one that
+        the release required, otherwise 0.
     """
 
     epoch_version: int
--- a/src/tulippin/jobs/intake.py
+++ b/src/tulippin/jobs/intake.py
@@ -1,6 +1,6 @@
-"""Callers' side of jobs: accepted, shown, counted and cancelled.
+"""API calls on jobs: submit, show, count and cancel.
 
-Any instance takes any call; the store's rows decide.
+Any instance serves any call, as the outcome depends on the store alone.
 """
 
 from __future__ import annotations
@@ -41,30 +41,30 @@
     from tulippin.jobs.unit_shell import UnitShell
 
 _MS: t.Final = 1000
-# A store that is well answers in 4 to 9 ms: with less time left, a caller
-# would learn nothing of what was done.
+# A healthy store answers in 4 to 9 ms. With less time left, the caller would
+# not learn the outcome.
 LEAST_LIMIT_MS: t.Final = 10
-# A cancel is tried so often where the units that run a job's tasks change
-# meanwhile: a task is passed on once in seconds at most.
-_CANCEL_TRIES: t.Final = 4
-# An instance that has just started reads the layout within some 10 ms, and
-# the first of all makes it within 1 s.
+# Attempts of a cancel while the set of units that run the job's tasks changes.
+# A task is transferred at most once in several seconds.
+_MAX_CANCEL_ATTEMPTS: t.Final = 4
+# A new instance reads the layout within some 10 ms; the very first one takes
+# up to 1 s to make it.
 _LAYOUT_WAIT_MS: t.Final = 1500
-# Some 100 bytes each.
-_HOMES_KEPT: t.Final = 10_000
+# Each entry takes some 100 bytes.
+_MAX_CACHED_HOMES: t.Final = 10_000
 
 
 @attrs.frozen
 class JobIntake:
-    """Takes callers' calls about jobs.
+    """Serves API calls on jobs.
 
-    Every method raises ``UnavailableError`` if it surely did nothing,
-    and ``AnswerLostError`` if that is not known.
+    Every method raises ``UnavailableError`` if the call had and will have no
+    effect, and ``AnswerLostError`` if that is unknown.
     """
 
     shell: SchedulerShell
-    # A job's home never changes, and a caller's calls mostly come by the
-    # same instance: a state is read with one call in place of two.
+    # Cache of home units, which saves one of two reads for a job's state. A
+    # job's home never changes, and a caller mostly uses the same instance.
     _homes: dict[str, int] = attrs.field(factory=dict, init=False)
 
     @property
@@ -80,8 +80,10 @@
             self._store, transaction, limit_ms / _MS, times
         )
 
-    async def _read(self, table: str, part: str, key: str) -> StoredRow | None:
-        """Read a row; a reading that fails has done nothing."""
+    async def _read_row(
+        self, table: str, part: str, key: str
+    ) -> StoredRow | None:
+        """Read a row; a failed read has no effect, so it is unavailable."""
         try:
             return await read_row(self._store, table, part, key)
         except AnswerLostError as error:
@@ -90,34 +92,34 @@
     async def _read_home(
         self, job_id: str
     ) -> tuple[HomeRecord | None, StoredRow | None]:
-        row = await self._read(HOMES_TABLE, get_jobs_part(job_id), job_id)
+        row = await self._read_row(HOMES_TABLE, get_jobs_part(job_id), job_id)
         home = read_record(row, HomeRecord)
         if is_unreadable(row, home):
-            # There may be such a job, and nobody can tell where.
-            raise UnavailableError(f'the home of {job_id} is unreadable')
+            # The job may exist, but its home unit is unknown.
+            raise UnavailableError(f'home row of {job_id} is unreadable')
         return home, row
 
     async def _read_state(self, number: int, job_id: str) -> JobState | None:
-        """Return what is durable of a job's state in a unit."""
+        """Return the durable state of a job in a unit, if any."""
         unit = Unit(number)
-        row = await self._read(unit.progress_table, unit.part, job_id)
+        row = await self._read_row(unit.progress_table, unit.part, job_id)
         progress = read_record(row, ProgressRecord)
         if is_unreadable(row, progress):
-            raise UnavailableError(f'the progress of {job_id} is unreadable')
+            raise UnavailableError(f'progress row of {job_id} is unreadable')
         return progress.state if progress else None
 
     async def submit(
         self, job_id: str, queue: Queue, request: JobRequest, limit_ms: int
     ) -> None:
-        """Accept a job: once this returns, it is kept.
+        """Accept a job, which is durable once this returns.
 
-        The same id again is the same job, whatever it carries.
+        A repeated id denotes the same job, whatever its request.
         """
         began_ms = self.shell.clock()
         await self._wait_for_layout(limit_ms)
         number = self.shell.choose_unit(request)
         if number is None:
-            raise UnavailableError('no unit is known yet')
+            raise UnavailableError('the layout of units is not known yet')
         home = HomeRecord(number)
         record = JobRecord(queue, request, self.shell.wall())
         transaction = Transaction(
@@ -128,12 +130,12 @@
                 RowWrite(Unit(number).jobs_table, job_id, encode(record)),
             ),
         )
-        left_ms = limit_ms - (self.shell.clock() - began_ms)
-        result = await self._transact(transaction, left_ms)
+        remaining_ms = limit_ms - (self.shell.clock() - began_ms)
+        result = await self._transact(transaction, remaining_ms)
         if result.is_done:
-            self._keep_home(job_id, number)
+            self._cache_home(job_id, number)
         elif _is_home_unreadable(result, job_id):
-            raise AnswerLostError(f'the home of {job_id} is unreadable')
+            raise AnswerLostError(f'home row of {job_id} is unreadable')
         self.shell.observe('tulippin_call_seconds', 'submit', began_ms)
         logger.info(
             'job accepted',
@@ -146,50 +148,50 @@
         )
 
     async def _wait_for_layout(self, limit_ms: int) -> None:
-        """Wait for the units, and leave half the time to the store."""
+        """Wait for the layout for at most half of the time limit."""
         _check_limit(limit_ms)
         wait_ms = min(limit_ms / 2, _LAYOUT_WAIT_MS)
         with trio.move_on_after(wait_ms / _MS):
             await self.shell.laid_out.wait()
 
     async def get_state(self, job_id: str) -> JobState | None:
-        """Return a job's state, or nothing if there is no such job."""
+        """Return a job's state, or None if there is no such job."""
         found = self.shell.find_job(job_id)
         if found is not None and found[1].durable is not None:
             return found[1].durable.state
-        likely = self._homes.get(job_id)
+        expected_unit = self._homes.get(job_id)
         if len(self.shell.units) == 1:
-            likely = next(iter(self.shell.units))
-        if likely is not None:
-            state = await self._read_state(likely, job_id)
+            expected_unit = next(iter(self.shell.units))
+        if expected_unit is not None:
+            state = await self._read_state(expected_unit, job_id)
             if state is not None:
                 return state
         home, _ = await self._read_home(job_id)
         if home is None:
             return None
-        self._keep_home(job_id, home.unit)
+        self._cache_home(job_id, home.unit)
         state = None
-        if home.unit != likely:
+        if home.unit != expected_unit:
             state = await self._read_state(home.unit, job_id)
         return state or JobState.PENDING
 
-    def _keep_home(self, job_id: str, number: int) -> None:
-        if len(self._homes) >= _HOMES_KEPT:
+    def _cache_home(self, job_id: str, number: int) -> None:
+        if len(self._homes) >= _MAX_CACHED_HOMES:
             self._homes.pop(next(iter(self._homes)))
         self._homes[job_id] = number
 
     async def cancel(self, job_id: str, queue: Queue, limit_ms: int) -> bool:
-        """Cancel a job for good; false if there is no such job."""
+        """Cancel a job; return whether there is such a job."""
         began_ms = self.shell.clock()
-        for _ in range(_CANCEL_TRIES):
+        for _ in range(_MAX_CANCEL_ATTEMPTS):
             home, row = await self._read_home(job_id)
             if home is None or row is None:
                 return False
             if home.is_cancelled:
                 return True
-            transaction = _make_cancel(job_id, queue, home, row)
-            left_ms = limit_ms - (self.shell.clock() - began_ms)
-            result = await self._transact(transaction, left_ms)
+            transaction = _make_cancel_transaction(job_id, queue, home, row)
+            remaining_ms = limit_ms - (self.shell.clock() - began_ms)
+            result = await self._transact(transaction, remaining_ms)
             if result.is_done:
                 self.shell.observe('tulippin_call_seconds', 'cancel', began_ms)
                 logger.info(
@@ -201,20 +203,21 @@
                     took_ms=self.shell.clock() - began_ms,
                 )
                 return True
-        raise AnswerLostError('the units of a job keep changing; cancel again')
+        raise AnswerLostError('units of the job keep changing; cancel again')
 
     def count_waiting(self, queue: Queue) -> int:
         """Return how many of a queue's jobs have no task begun."""
         if not self.shell.units:
-            raise UnavailableError('no unit is known yet')
-        told = [_get_waiting(unit) for unit in self.shell.units.values()]
-        return sum(waiting.get(queue.name, 0) for waiting in told)
+            raise UnavailableError('the layout of units is not known yet')
+        counts = [_get_waiting(unit) for unit in self.shell.units.values()]
+        return sum(waiting.get(queue.name, 0) for waiting in counts)
 
 
 def _get_waiting(unit: UnitShell) -> dict[str, int]:
-    """Return the waiting jobs of a unit, as far as its lease is known.
+    """Return the number of waiting jobs of a unit, by queue.
 
-    A lease that has not been read, or can't be, does not tell of none.
+    Raises ``UnavailableError`` if the lease has not been read or is invalid,
+    as the number is then unknown rather than zero.
     """
     if unit.is_owner:
         return count_waiting(unit.state)
@@ -229,15 +232,16 @@
 
 
 def _check_limit(limit_ms: int) -> None:
-    """Refuse what can't be done in the time left, before any of it is."""
+    """Refuse a call that can't be done in time, before it has any effect."""
     if limit_ms < LEAST_LIMIT_MS:
         raise UnavailableError(
-            f'not run: {limit_ms} ms are too little; call again with more'
+            f'not run: a time limit of {limit_ms} ms is too short; '
+            'call again with a longer one'
         )
 
 
 def _is_home_unreadable(result: TransactionResult, job_id: str) -> bool:
-    """Whether what stands in a new job's way tells of no job."""
+    """Whether a submit failed at an invalid home row with the job's id."""
     return any(
         is_unreadable(row, read_record(row, HomeRecord))
         for row in result.rows
@@ -245,10 +249,10 @@
     )
 
 
-def _make_cancel(
+def _make_cancel_transaction(
     job_id: str, queue: Queue, home: HomeRecord, row: StoredRow
 ) -> Transaction:
-    """Return what tells every unit that knows a job of its cancel."""
+    """Return the transaction that cancels a job in all of its units."""
     cancelled = attrs.evolve(home, is_cancelled=True)
     mark = encode(CancelRecord(queue.name))
     return Transaction(
--- a/src/tulippin/jobs/ports.py
+++ b/src/tulippin/jobs/ports.py
@@ -1,4 +1,4 @@
-"""Narrow interfaces of the job scheduler to everything outside."""
+"""Interfaces of the job scheduler to the platform, and their data types."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 class HistoryLostError(UnavailableError):
-    """The store no longer has the changes asked for: read all anew."""
+    """The store no longer has the requested changes; read all rows again."""
 
     code = 'history_lost'
 
 
 class WorkerChangedError(UnavailableError):
-    """Another life of the worker answers at the address."""
+    """Another incarnation of the worker answers at the address."""
 
     code = 'worker_changed'
 
 
 class FencedOrderError(UnavailableError):
-    """The worker has seen a newer owner's fencing token."""
+    """The worker has received a newer owner's fencing token."""
 
     code = 'fenced_order'
 
 
 @attrs.frozen
 class StoredRow:
-    """A row; no value means that it was removed."""
+    """A row; its value is None if it was removed."""
 
     table: str
     part: str
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class RowCondition:
-    """A transaction's demand: the row has this version; 0 is absent."""
+    """Requires that a row has this version; 0 means that it is absent."""
 
     table: str
     key: str
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class RowWrite:
-    """A transaction's change of a row; no value removes it."""
+    """Sets the value of a row; None removes the row."""
 
     table: str
     key: str
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class Transaction:
-    """Conditions and writes in one part, done all or not at all."""
+    """Conditions and writes in one part, applied atomically."""
 
     part: str
     conditions: tuple[RowCondition, ...]
@@ -82,7 +82,10 @@
 
 @attrs.frozen
 class TransactionResult:
-    """Whether it was done; if not, the conditions' rows as they are."""
+    """Result of a transaction.
+
+    ``rows`` holds the current rows of the conditions if it was not done.
+    """
 
     is_done: bool
     version: int = 0
@@ -92,50 +95,51 @@
 class RowStore(t.Protocol):
     """The platform's transactional store.
 
-    Every method raises ``UnavailableError`` if it surely did nothing
+    Every method raises ``UnavailableError`` if it had and will have no effect,
     and ``AnswerLostError`` if it may have taken effect, or still may.
     """
 
     async def read_rows(
         self, table: str, part: str, first: str = '', end: str = ''
     ) -> RowPage:
-        """Return all rows from ``first`` on, up to but without ``end``."""
+        """Return the rows with keys from ``first`` to before ``end``."""
 
     async def follow(self, table: str, after: int, wait_ms: int) -> RowPage:
         """Return the changes of a table after a version.
 
-        Raises ``HistoryLostError`` if the store has forgotten them.
+        Waits up to ``wait_ms`` for a change. Raises ``HistoryLostError`` if
+        the store no longer has the changes.
         """
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Carry out a transaction."""
+        """Apply a transaction."""
 
 
 class Feeds(t.Protocol):
-    """What the platform tells of its operators and workers."""
+    """The platform's feeds of the configuration and of workers."""
 
     async def read_configuration(self) -> tuple[Configuration | None, int]:
-        """Return the configuration, if any, and the store's version."""
+        """Return the configuration, if any, and the version read."""
 
     async def follow_configuration(
         self, after: int, wait_ms: int
     ) -> tuple[Configuration | None, int]:
-        """Return a newer configuration once there is one."""
+        """Return a newer configuration, if any within ``wait_ms``."""
 
     async def read_workers(self) -> tuple[tuple[WorkerEntry, ...], int]:
-        """Return every worker on the list and the store's version."""
+        """Return all workers on the list and the version read."""
 
     async def follow_workers(
         self, after: int
     ) -> tuple[tuple[WorkerEntry, ...], tuple[str, ...], int]:
-        """Return workers changed and workers gone since a version."""
+        """Return changed workers, ids of removed ones, and the version."""
 
 
 @attrs.frozen
 class StartOrder:
     """An order to start a run.
 
-    ``deadline_ms`` is by the worker's clock: later, the start is void.
+    ``deadline_ms`` is by the worker's clock; the worker refuses a later start.
     """
 
     worker_id: str
@@ -151,19 +155,19 @@
 
 @attrs.frozen
 class Advice:
-    """Tickets by worker, for those that may run a step, and for how long."""
+    """Tickets of the workers that may run a step, and their validity."""
 
     tickets: dict[str, str]
     valid_ms: int
 
 
 class Advisor(t.Protocol):
-    """The service that knows which workers may run a step."""
+    """The service that decides which workers may run a step."""
 
     async def ask(
         self, step: tuple[str, int, int], worker_ids: t.Sequence[str]
     ) -> Advice:
-        """Ask about workers; may raise ``UnavailableError``."""
+        """Return the advice on workers; may raise ``UnavailableError``."""
 
 
 class WorkerAgents(t.Protocol):
@@ -180,7 +184,7 @@
         run: int,
         fencing_token: int,
     ) -> OrderAnswer:
-        """Stop a run; one that is not there yet will be refused."""
+        """Stop a run; a start of it that arrives later is refused."""
 
     async def pace(
         self,
@@ -191,7 +195,7 @@
         percent: int,
         fencing_token: int,
     ) -> OrderAnswer:
-        """Let a run work at a share of its speed."""
+        """Set the pace of a run in percent of its full speed."""
 
     async def hold(
         self,
@@ -211,7 +215,7 @@
 
 @attrs.frozen
 class SchedulerPorts:
-    """Everything that a scheduler's shell reaches."""
+    """The ports through which the shell reaches the platform."""
 
     store: RowStore
     feeds: Feeds
--- a/src/tulippin/jobs/records.py
+++ b/src/tulippin/jobs/records.py
@@ -1,4 +1,7 @@
-"""What is kept in the store: jobs, their progress, and who owns them."""
+"""Records in the store: jobs, their progress, and the ownership of units.
+
+Every record is encoded as JSON under its own field names.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,15 @@
 UNITS_TABLE: t.Final = 'units'
 LAYOUT_PART: t.Final = 'layout'
 LAYOUT_KEY: t.Final = 'layout'
-# What each owner has learned, so that the next one begins with it.
+# The model that each owner has persisted for its successors.
 MODELS_TABLE: t.Final = 'models'
 MODEL_KEY: t.Final = 'model'
-# Where each task may run, told by an owner that gives its unit up.
+# The release report: where each task may run when an owner releases its unit.
 ACCOUNTS_TABLE: t.Final = 'accounts'
 ACCOUNT_KEY: t.Final = 'account'
-# Which unit keeps a job: one row each, in the job's part.
+# The home unit of each job: one row for each job, in the job's part.
 HOMES_TABLE: t.Final = 'homes'
-# What bundles are kept in.
+# The table and the part that hold the bundles.
 PRODUCT_TABLE: t.Final = 'tulippin'
 PRODUCT_PART: t.Final = 'product'
 LEASE_KEY: t.Final = 'lease'
@@ -30,7 +33,7 @@
 CANCEL_SUFFIX: t.Final = '/cancel'
 GUEST_SUFFIX: t.Final = '/guest'
 FAIL_SUFFIX: t.Final = '/failed'
-# Sizes of tasks, in millicores, for which a unit's owner tells its places.
+# Task sizes, in millicores, for which an owner publishes how many more fit.
 PLACE_SIZES: t.Final = (
     1000,
     2000,
@@ -45,62 +48,62 @@
     48_000,
     64_000,
 )
-# The store carries out a part's writes one after the other, and a write of
-# a store that is slow takes 0.3 s. Accepted and cancelled jobs are spread
-# over so many parts, away from the owner's own writes.
-_JOBS_PARTS: t.Final = 8
+# The store serializes the writes of a part, and a slow store takes 0.3 s for
+# each. Accepted and cancelled jobs are therefore spread over this number of
+# parts, apart from the owner's own writes.
+_JOBS_PART_COUNT: t.Final = 8
 
 
 def get_jobs_parts() -> tuple[str, ...]:
     """Return the parts that hold accepted and cancelled jobs."""
-    return tuple(f'j{number}' for number in range(_JOBS_PARTS))
+    return tuple(f'j{number}' for number in range(_JOBS_PART_COUNT))
 
 
 def get_jobs_part(job_id: str) -> str:
-    """Return the part that holds all rows which callers' calls write."""
-    return get_jobs_parts()[zlib.crc32(job_id.encode()) % _JOBS_PARTS]
+    """Return the part that holds all rows of a job written by API calls."""
+    return get_jobs_parts()[zlib.crc32(job_id.encode()) % _JOBS_PART_COUNT]
 
 
 @attrs.frozen
 class Unit:
-    """A set of workers with the jobs homed there; one instance owns it."""
+    """A set of workers and the home of some jobs; owned by one instance."""
 
     number: int = 0
 
     @property
     def part(self) -> str:
-        """The part that holds the rows which only the owner writes."""
+        """The part that holds the rows written by the owner alone."""
         return f'u{self.number}'
 
     @property
     def jobs_table(self) -> str:
-        """The table of accepted and of cancelled jobs."""
+        """The table of accepted and cancelled jobs."""
         return f'jobs{self.number}'
 
     @property
     def progress_table(self) -> str:
-        """The table of what jobs have done."""
+        """The table of the jobs' progress."""
         return f'progress{self.number}'
 
 
 @attrs.frozen
 class DemandRecord:
-    """What short tasks of a priority ask for at once, in one unit.
+    """Concurrent demand of short tasks of one priority in one unit.
 
     Parameters
     ----------
     service : str
-        Whose workers they would run on.
+        The service whose workers run the tasks.
     priority : int
         The priority of their queues.
     mean_millicores, variance : float
-        The processors that they ask for.
+        Mean and variance of the processors that they request at a time.
     squares, cubes : float
-        The mean, weighted by the size of each task, once and twice.
+        The mean weighted by the size of each task, and by its square.
     count : float
-        On how many steps of late this is based.
+        The number of recent steps that the figures are based on.
     memory : float
-        The mean, weighted by the memory of each task.
+        The mean weighted by the memory of each task.
     """
 
     service: str
@@ -115,13 +118,13 @@
 
 @attrs.frozen
 class QueueKinds:
-    """Which sorts of tasks have come by a queue."""
+    """Which kinds of tasks have arrived in a queue."""
 
     short: bool = False
     long_running: bool = False
 
     def join(self, other: QueueKinds) -> QueueKinds:
-        """Return what either of two tells of."""
+        """Return the union of the two sets of kinds."""
         return QueueKinds(
             self.short or other.short, self.long_running or other.long_running
         )
@@ -129,39 +132,42 @@
 
 @attrs.frozen
 class UnitRoom:
-    """What a unit's open workers hold, and what is asked of them.
+    """Capacity of a unit's workers that accept tasks, and demand for it.
+
+    The owner publishes it in its lease; other owners and the instances that
+    choose a unit for a new job read it.
 
     Parameters
     ----------
     capacity_millicores : int
-        Processors of all workers that take work.
+        Processors of all workers that accept tasks.
     reserved_millicores : int
-        What running tasks reserve of them, and waiting ones would.
+        Processors that running and waiting tasks reserve.
     idle_millicores : int
-        What opportunistic tasks that run or wait would use.
+        Processors that running and waiting opportunistic tasks would use.
     largest_free : Resources
-        What the worker with the most free processors has left.
+        Free capacity of the worker with the most free processors.
     labels : tuple of str
-        Labels of the workers, but for their racks.
+        Labels of the workers, except their racks.
     places : tuple of int
-        How many more tasks of each of ``PLACE_SIZES`` find a place, as far
-        as there are any.
+        How many more tasks of each size in ``PLACE_SIZES`` fit; trailing sizes
+        that do not fit are left out.
     waiting_millicores : dict of str to int
-        What opportunistic tasks wait for, by image.
+        Processors that waiting opportunistic tasks request, by image.
     images : tuple of str
         Images of the long-running tasks that run or wait.
     largest_new_millicores : int or None
-        The most processors of a worker that a new long-running task may
-        take, beside what is kept for short ones; nothing if not told.
+        The most processors of one worker that a new long-running task may
+        take beside the headroom of short ones; None if not reported.
     short_places : tuple of int or None
-        ``places`` for short tasks, which go before long-running ones that
-        wait; nothing if not told.
+        ``places`` for short tasks, which precede waiting long-running ones;
+        None if not reported.
     demands : tuple of DemandRecord
-        What short tasks ask for.
+        Demand of short tasks.
     service_millicores : dict of str to int
         ``capacity_millicores`` by service.
     queue_kinds : dict of str to QueueKinds
-        What has come by each queue.
+        The kinds of tasks that have arrived in each queue.
     """
 
     capacity_millicores: int = 0
@@ -181,12 +187,13 @@
 
 @attrs.frozen
 class LeaseRecord:
-    """The owner's sign of life; observers time its changes themselves.
+    """The owner's lease; observers time its renewals by their own clocks.
 
     ``waiting`` counts the accepted jobs of each queue with no task begun.
-    ``is_loading``: the owner does not know its unit yet; count and room are
-    the last owner's, without a place. ``answer_ms`` is how long the store
-    takes to answer the owner's transactions.
+    ``is_loading`` says that the owner has not loaded its unit yet: ``waiting``
+    and ``room`` are then those of the previous owner, with no free capacity.
+    ``answer_ms`` is the time that the store takes for a transaction of the
+    owner.
     """
 
     session_id: str
@@ -203,9 +210,9 @@
 class LayoutRecord:
     """The unit of each rack; a rack never changes its unit.
 
-    Racks have no default: a row without them tells of no layout.
-    ``failure_domains`` names the one that a unit's racks are in, or
-    nothing where they are in several.
+    ``racks`` has no default, so that a row without it is invalid.
+    ``failure_domains`` holds the failure domain of each unit whose racks are
+    all in the same one.
     """
 
     racks: dict[str, int]
@@ -219,7 +226,7 @@
 
 @attrs.frozen
 class HomeRecord:
-    """The unit that keeps a job, and those that run some tasks of it."""
+    """The home unit of a job, and other units that run tasks of it."""
 
     unit: int
     guest_units: tuple[int, ...] = ()
@@ -228,13 +235,13 @@
 
     @property
     def units(self) -> tuple[int, ...]:
-        """All units that know the job."""
+        """All units that hold tasks of the job, its home unit first."""
         return (self.unit, *self.guest_units)
 
 
 @attrs.frozen
 class EpochRecord:
-    """Who owns the unit; the epoch is its fencing token."""
+    """The owner of the unit, with its epoch, which is the fencing token."""
 
     epoch: int
     session_id: str
@@ -242,11 +249,11 @@
 
 @attrs.frozen
 class PairRecord:
-    """What is learned of one serving image.
+    """What the interference model has learned of one serving image.
 
-    ``means`` tells for each image beside it the excess for each tenth of
-    a worker's processors, ``covariances`` how well that is known, for
-    each image and those after it in the order of ``means``.
+    ``means`` holds for each image beside it the excess for each tenth of a
+    worker's processors that it uses. ``covariances`` is the upper triangle of
+    their covariance matrix, in the order of ``means``.
     """
 
     means: dict[str, float] = attrs.field(factory=dict)
@@ -256,9 +263,10 @@
 
 @attrs.frozen
 class SwingRecord:
-    """How the loads of jobs swing, by the time of day.
+    """Load cycles of jobs over the day.
 
-    ``waves`` tells for each job the mean and the parts of sine and cosine.
+    ``waves`` holds for each job the mean and the coefficients of the sine and
+    the cosine.
     """
 
     period_ms: float = 0.0
@@ -268,7 +276,7 @@
 
 @attrs.frozen
 class ModelRecord:
-    """What an owner has learned of images, queues and jobs."""
+    """The persisted model: what an owner learned of images, queues, jobs."""
 
     pairs: dict[str, PairRecord] = attrs.field(factory=dict)
     lowest_tails_ms: dict[str, float] = attrs.field(factory=dict)
@@ -280,7 +288,8 @@
 class RosterRecord:
     """Workers, by id, on which the owner's orders may still have effect.
 
-    They have no default: a row without them does not tell of none.
+    ``addresses`` has no default: a row without it is invalid, and does not
+    stand for an empty roster.
     """
 
     addresses: dict[str, str]
@@ -288,16 +297,16 @@
 
 @attrs.frozen
 class WorkerAccount:
-    """What the last owner's orders may still have effect on, at one worker.
+    """Part of a release report: effect of the owner's orders on one worker.
 
     Parameters
     ----------
     lasting_ms : int
-        For how long after the release.
+        How long after the release the orders may stay in effect.
     tasks : tuple of str, optional
-        The tasks that may run there; nothing where that is not known.
+        Names of the tasks that may run there; None if unknown.
     is_silent : bool
-        The worker did not answer when the unit was released.
+        Whether the worker did not answer when the unit was released.
     """
 
     lasting_ms: int
@@ -307,39 +316,40 @@
 
 @attrs.frozen
 class AccountRecord:
-    """Where tasks may run, by an owner that released the unit.
+    """Release report of an owner: where tasks may run after the release.
 
-    It counts for the next epoch alone: whoever came in between has given
-    orders that it does not know. An owner that has given none hands it on
-    under its own epoch.
+    It is valid for the next epoch only, as any owner after that has given
+    orders that the report does not include. An owner that has given none
+    hands it over under its own epoch.
     """
 
     epoch: int
     workers: dict[str, WorkerAccount] = attrs.field(factory=dict)
 
     def hand_on(self, unused_ms: int) -> AccountRecord:
-        """Return the account as of a later owner that gave no order.
+        """Return the report for the successor of an owner without orders.
 
         Parameters
         ----------
         unused_ms : int
-            For how long, at least, the account has stood by then.
+            Lower bound of the time since the report was written, which is
+            subtracted from the remaining durations.
         """
         workers = {
             worker_id: attrs.evolve(
-                told, lasting_ms=max(0, told.lasting_ms - unused_ms)
+                entry, lasting_ms=max(0, entry.lasting_ms - unused_ms)
             )
-            for worker_id, told in self.workers.items()
+            for worker_id, entry in self.workers.items()
         }
         return AccountRecord(self.epoch + 1, workers)
 
 
 @attrs.frozen
 class JobRecord:
-    """An accepted job, with its queue as it was configured then.
+    """An accepted job, with its queue as configured at that time.
 
     ``accepted_ms`` is the time of day by the clock of the instance that
-    accepted it; 0 if that is not known.
+    accepted it, or 0 if unknown.
     """
 
     queue: Queue
@@ -349,27 +359,29 @@
 
 @attrs.frozen
 class CrashRecord:
-    """A worker's life that ended, or may have, soon after a task's start.
+    """A certain or suspected crash of a worker soon after a task's start.
 
     Parameters
     ----------
     worker_id, address, machine : str
-        The life, and where its next one would be.
+        The incarnation that crashed, and where its successor would appear.
     run : int
         The task's run there.
     age_ms : int
-        For how long, at least, the run had been there.
+        Lower bound of the time that the run had been there.
     noted_ms : int
         The time of day when the worker was first found silent.
     is_sure : bool
-        The life is over; otherwise the worker may be cut off and at work.
+        Whether the worker has certainly ended; otherwise it may be
+        partitioned from the owner and still work.
     is_clear : bool
-        No other run there had begun shortly before.
+        Whether no other run had been started there shortly before.
     is_seen : bool
-        The worker told of the run, or answered after its order was sent;
-        otherwise it may have been dead before.
+        Whether the worker reported the run, or answered after its order was
+        sent; otherwise it may have crashed before.
     is_age_known : bool
-        Its owner saw it begin; otherwise it may have been there for longer.
+        Whether the owner saw the run begin; otherwise the run may have been
+        there for longer than ``age_ms``.
     """
 
     worker_id: str
@@ -386,12 +398,12 @@
 
 @attrs.frozen
 class GuestRecord:
-    """Long-running tasks that another unit passed on to this one.
+    """Long-running tasks of a job that were transferred to this unit.
 
-    ``passes`` tells for each task, as ``K.STEP.INDEX``, how often it has
-    changed its unit, this time included, and ``runs`` the highest run
-    that an earlier unit may have started. ``begun`` are those that have run,
-    ``crashes`` the workers that crashed under them.
+    Tasks are named ``OCCURRENCE.STEP.INDEX``. ``passes`` counts for each one
+    its transfers, this one included, and ``runs`` holds the highest run number
+    that an earlier unit may have started. ``begun`` names the tasks that have
+    run, and ``crashes`` holds the crashes under each.
     """
 
     queue: Queue
@@ -404,54 +416,56 @@
 
 @attrs.frozen
 class CancelRecord:
-    """Says that a caller cancelled the job."""
+    """Marks a job as cancelled by a caller."""
 
     queue_name: str
 
 
 @attrs.frozen
 class FailRecord:
-    """Says that a unit gave the job up, and why."""
+    """Marks a job as abandoned by a unit, with the reason."""
 
     reason: str
 
 
 @attrs.frozen
 class ProgressRecord:
-    """What is durable of a job's run.
+    """Durable progress of a job in one unit.
+
+    Tasks are named ``OCCURRENCE.STEP.INDEX``, steps ``OCCURRENCE.STEP``.
 
     Parameters
     ----------
     state : JobState
-        As shown to callers.
+        The state as shown to callers.
     done : dict
-        For each occurrence and step, as ``K.STEP``, the tasks that are
-        done: bits of a hexadecimal number.
+        The finished tasks by step, as bits of a hexadecimal number.
     failures : dict
-        Numbers of failed runs by task, as ``K.STEP.INDEX``; a worker may
-        list an end again to the next owner.
+        Numbers of failed runs by task. They are kept because a worker may
+        report the same end to the next owner again.
     passed : dict
-        Tasks, as ``K.STEP.INDEX``, that were passed on to another unit:
-        to which, as the how-manieth pass, and above which run.
+        Tasks that were transferred to another unit, each with that unit, the
+        transfer number and the highest run number used here.
     avoided : dict
-        Workers where such a task failed: the next owner would not know
-        them, as their ends are no longer listed.
+        Workers where a task failed, by task. They are kept because workers no
+        longer report ends that were acknowledged.
     crashes : dict
-        Workers that crashed under a task, or may have, by task.
+        Certain and suspected crashes of workers, by task.
     started : dict
-        The newest run of each task that runs, and its worker: what died
-        with its worker while the unit changed hands is known by it.
+        The newest run of each running task, and its worker. The next owner
+        finds by it the runs that ended with their worker while the unit
+        changed its owner.
     reason : str
-        Why the job was given up.
+        Why the job was abandoned.
     places : dict, optional
-        The workers where each long-running task may run; one that is not
-        named runs nowhere. Nothing where that is not known.
+        The workers where each long-running task may run. A task that is not
+        named runs nowhere; None if the workers are unknown.
     begun : dict, optional
-        Bits as ``done`` of the long-running tasks that have run, or were
-        ordered to. Nothing where that is not known.
+        Bits, as in ``done``, of the long-running tasks that have run or were
+        ordered to start; None if unknown.
     doubts : int
-        How often short tasks of it may have been started unseen on a worker
-        that died while the unit changed hands.
+        How often short tasks of the job may have had an unconfirmed run on a
+        worker that died while the unit changed its owner.
     """
 
     state: JobState
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -1,4 +1,8 @@
-"""The scheduler's shell: runs the units' events, performs their effects."""
+"""The scheduler's shell: the event loop for all units of one instance.
+
+It holds a ``UnitShell`` for each unit of the layout, queues and dispatches
+their events, and follows the configuration.
+"""
 
 from __future__ import annotations
 
@@ -27,20 +31,19 @@
 
 _MS: t.Final = 1000
 _TICK_S: t.Final = 0.05
-# An instance that has no unit looks less often whether one is free, as a
-# takeover takes two seconds: 87 of 97 instances have none, and each wake-up
-# costs some 0.1 ms.
-_STANDBY_S: t.Final = 0.2
-# How long the loop handles events before calls go on: a renewal of the
-# lease takes some ten turns, which have to fit into its 0.5 s.
+# An instance without units ticks less often, as a takeover takes two seconds
+# anyway: 87 of 97 instances have no unit, and each wake-up costs some 0.1 ms.
+_STANDBY_TICK_S: t.Final = 0.2
+# How long the loop handles events before other tasks run: a renewal of the
+# lease takes some ten turns of the loop, which have to fit into its 0.5 s.
 _SLICE_MS: t.Final = 15
-# An event that waited so long says that the instance falls behind.
-_LATE_MS: t.Final = 500
+# Age of a handled event from which the instance counts as overloaded.
+_LATE_EVENT_AGE_MS: t.Final = 500
 _LATE_LOG_EVERY_MS: t.Final = 1000
 
 Clock = t.Callable[[], int]
 
-_Entry: t.TypeAlias = tuple[UnitShell, ev.JobEvent]
+_QueuedEvent: t.TypeAlias = tuple[UnitShell, ev.JobEvent]
 
 
 class SchedulerShell:
@@ -49,12 +52,12 @@
     Parameters
     ----------
     config : SchedulerConfig
-        What the instance knows from its settings.
+        The settings, from which each unit's configuration is derived.
     ports : SchedulerPorts
-        Everything outside.
+        The interfaces to the platform.
     clock, wall : callable
-        Return monotonic milliseconds that count suspension, and the
-        time of day in milliseconds.
+        Return the time in milliseconds: ``clock`` that of a monotonic clock
+        that includes suspension, ``wall`` the time of day.
     """
 
     def __init__(
@@ -79,9 +82,9 @@
         self.latencies = LatencyTable()
         self.answer_times = AnswerTimes()
         self._policy: ev.PolicyChanged | None = None
-        self._store_answers = False
-        self._urgent: collections.deque[_Entry] = collections.deque()
-        self._inbox: collections.deque[_Entry] = collections.deque()
+        self._is_store_available = False
+        self._urgent: collections.deque[_QueuedEvent] = collections.deque()
+        self._inbox: collections.deque[_QueuedEvent] = collections.deque()
         self._late_logged_ms = 0
         self._wake = trio.Event()
         self._has_unit = trio.Event()
@@ -104,17 +107,17 @@
         return self
 
     async def __aexit__(self, *details: t.Any) -> None:
-        """Stop at once, as a crash would."""
+        """Stop immediately, without releasing any unit."""
         self._nursery.cancel_scope.cancel()
         await self._manager.__aexit__(*details)
 
     @property
     def has_seen_units(self) -> bool:
-        """Whether it has been read of each unit who owns it."""
+        """Whether the owner of each unit has been read."""
         return all(unit.is_seen for unit in self.units.values())
 
     async def leave(self) -> None:
-        """Give up all units in a planned way."""
+        """Release all units in a planned way; return once that is done."""
         self._is_leaving = True
         for unit in self.units.values():
             unit.post(ev.StopRequested(self.clock()))
@@ -124,7 +127,7 @@
     # -- units ---------------------------------------------------------------
 
     def take_layout(self, layout: LayoutRecord) -> None:
-        """Know the units of a layout."""
+        """Set the layout, and add a shell for each new unit."""
         self.layout = layout
         self.laid_out.set()
         for number in layout.unit_numbers:
@@ -133,15 +136,16 @@
 
     def _add_unit(self, number: int) -> None:
         config = attrs.evolve(self.config, unit=Unit(number))
-        self._begin_unit(UnitShell(config, self))
+        self._start_unit(UnitShell(config, self))
 
     def replace_unit(
         self, failed: UnitShell, unit: UnitShell, rest_ms: int
     ) -> None:
-        """Go on with a unit's next life; the other units know of nothing.
+        """Replace the shell of a failed unit by a new one.
 
-        It rests first, and is told nothing meanwhile: one that fails at all
-        that it is told would take the whole instance's time.
+        The queued events of the failed shell are dropped; other units are not
+        affected. The new shell gets no event for ``rest_ms``, as one that
+        fails at every event would otherwise use up the instance's processor.
         """
         for inbox in (self._urgent, self._inbox):
             kept = [entry for entry in inbox if entry[0] is not failed]
@@ -150,23 +154,25 @@
         self.units[unit.config.unit.number] = unit
         if rest_ms:
             unit.is_resting = True
-            self.start(self._begin_later, unit, rest_ms)
+            self.start(self._start_replacement_later, unit, rest_ms)
         else:
-            self._go_on(unit)
+            self._start_replacement(unit)
 
-    async def _begin_later(self, unit: UnitShell, rest_ms: int) -> None:
+    async def _start_replacement_later(
+        self, unit: UnitShell, rest_ms: int
+    ) -> None:
         await trio.sleep(rest_ms / _MS)
         unit.is_resting = False
-        self._go_on(unit)
+        self._start_replacement(unit)
 
-    def _go_on(self, unit: UnitShell) -> None:
-        """Tell a unit's next life all that its last one knew of."""
-        self._begin_unit(unit)
+    def _start_replacement(self, unit: UnitShell) -> None:
+        """Start a unit's new shell with the current rows and settings."""
+        self._start_unit(unit)
         unit.see_rows(())
         if self._is_leaving:
             unit.post(ev.StopRequested(self.clock()))
 
-    def _begin_unit(self, unit: UnitShell) -> None:
+    def _start_unit(self, unit: UnitShell) -> None:
         self.units[unit.config.unit.number] = unit
         if self.configuration is not None:
             event = ev.ConfigurationChanged(self.clock(), self.configuration)
@@ -175,13 +181,13 @@
             unit.post(self._policy)
 
     def get_unit_number(self, entry: WorkerEntry) -> int | None:
-        """Return the unit of a worker; nothing if its rack is new."""
+        """Return the unit of a worker, or None if its rack has none yet."""
         if self.layout is None:
             return None
         return self.layout.racks.get(get_rack(entry))
 
     def find_job(self, job_id: str) -> tuple[UnitShell, Job] | None:
-        """Return a job that a unit owned here keeps."""
+        """Return a job and its home unit, if this instance owns that unit."""
         for unit in self.units.values():
             job = unit.state.jobs.get(job_id)
             if unit.is_owner and job is not None and not job.is_guest:
@@ -189,7 +195,7 @@
         return None
 
     def choose_unit(self, request: JobRequest) -> int | None:
-        """Return the unit that is to keep a new job, if any is known."""
+        """Return the home unit for a new job, or None without a layout."""
         if self.layout is None or not self.units:
             return None
         return _balancing.choose_unit(
@@ -199,17 +205,17 @@
     # -- the loop ----------------------------------------------------------
 
     def post(self, event: ev.JobEvent) -> None:
-        """Put an event that concerns every unit into the inbox."""
+        """Queue an event for every unit."""
         if isinstance(event, ev.PolicyChanged):
             self._policy = event
         for unit in self.units.values():
             self.post_to(unit, event)
 
     def post_to(self, unit: UnitShell, event: ev.JobEvent) -> None:
-        """Put an event of a unit into the inbox.
+        """Queue an event for one unit.
 
-        What ownership hangs on goes first: an owner that falls behind
-        must not lose its unit for that.
+        Events that ownership depends on go first, so that an overloaded owner
+        does not lose its unit.
         """
         inbox = self._inbox
         if isinstance(event, ev.OWNERSHIP_EVENTS):
@@ -222,30 +228,33 @@
             if not (self._urgent or self._inbox):
                 self._wake = trio.Event()
                 await self._wake.wait()
-            self._handle_some()
+            self._handle_slice()
             await trio.lowlevel.checkpoint()
 
-    def _handle_some(self) -> None:
+    def _handle_slice(self) -> None:
         """Handle events for one slice of time."""
         until_ms = self.clock() + _SLICE_MS
-        held = sum(unit.is_held for unit in self.units.values())
+        owned_count = sum(unit.is_held for unit in self.units.values())
         while self._urgent or self._inbox:
             inbox = self._urgent or self._inbox
             unit, event = inbox.popleft()
-            self._note_age(event)
-            unit.state.other_units = held - unit.is_held
+            self._record_event_age(event)
+            unit.state.other_units = owned_count - unit.is_held
             unit.step(event)
-            held = unit.state.other_units + unit.is_held
-            if held:
+            owned_count = unit.state.other_units + unit.is_held
+            if owned_count:
                 self._has_unit.set()
             if self.clock() >= until_ms:
                 return
 
-    def _note_age(self, event: ev.JobEvent) -> None:
+    def _record_event_age(self, event: ev.JobEvent) -> None:
         now_ms = self.clock()
         self.event_age_ms = now_ms - event.at_ms
         since_ms = now_ms - self._late_logged_ms
-        if self.event_age_ms > _LATE_MS and since_ms > _LATE_LOG_EVERY_MS:
+        if (
+            self.event_age_ms > _LATE_EVENT_AGE_MS
+            and since_ms > _LATE_LOG_EVERY_MS
+        ):
             self._late_logged_ms = now_ms
             logger.warning(
                 'events late',
@@ -261,24 +270,24 @@
             if any(unit.is_held for unit in units):
                 await trio.sleep(_TICK_S)
             else:
-                await self._stand_by()
+                await self._wait_for_standby_tick()
             while self._urgent:
-                # The loop is busy: a second tick would say nothing new.
+                # The loop is behind: another tick would carry no information.
                 await trio.sleep(_TICK_S)
 
-    async def _stand_by(self) -> None:
-        """Wait for the next tick of an instance that has no unit."""
+    async def _wait_for_standby_tick(self) -> None:
+        """Wait for the next tick of an instance without units."""
         self._has_unit = trio.Event()
-        with trio.move_on_after(_STANDBY_S):
+        with trio.move_on_after(_STANDBY_TICK_S):
             await self._has_unit.wait()
 
     def start(self, task: t.Callable[..., t.Awaitable[None]], *args) -> None:
-        """Run a unit's task beside the loop."""
+        """Run a task concurrently with the loop."""
         if self._nursery is not None:
             self._nursery.start_soon(task, *args)
 
     def observe(self, name: str, label: str, began_ms: int) -> None:
-        """Keep a latency that began at a time and ends now."""
+        """Record the time since ``began_ms`` in a latency metric."""
         self.latencies.record(name, label, self.clock() - began_ms)
 
     # -- feeds -------------------------------------------------------------
@@ -288,10 +297,13 @@
         while True:
             try:
                 if after < 0:
-                    found, after = await self.ports.feeds.read_configuration()
+                    (
+                        configuration,
+                        after,
+                    ) = await self.ports.feeds.read_configuration()
                 else:
                     feeds = self.ports.feeds
-                    found, after = await feeds.follow_configuration(
+                    configuration, after = await feeds.follow_configuration(
                         after, FEED_WAIT_MS
                     )
             except HistoryLostError:
@@ -303,28 +315,28 @@
                 await trio.sleep(FEED_PAUSE_S)
                 continue
             self.note_store()
-            if found is not None:
-                self._configure(found)
+            if configuration is not None:
+                self._apply_configuration(configuration)
 
-    def _configure(self, found: Configuration) -> None:
-        known = self.configuration
-        if known is not None and found.version <= known.version:
+    def _apply_configuration(self, configuration: Configuration) -> None:
+        current = self.configuration
+        if current is not None and configuration.version <= current.version:
             return
-        self.configuration = found
-        logger.info('configuration in force', version=found.version)
-        self.post(ev.ConfigurationChanged(self.clock(), found))
+        self.configuration = configuration
+        logger.info('configuration in force', version=configuration.version)
+        self.post(ev.ConfigurationChanged(self.clock(), configuration))
         self.configured.set()
 
     def note_store(self, error: UnavailableError | None = None) -> None:
-        """Note whether the store answers; log when that changes."""
+        """Record whether the store answered, and log changes."""
         if error is None:
-            if not self._store_answers:
+            if not self._is_store_available:
                 logger.info('store answers')
-            self._store_answers = True
+            self._is_store_available = True
             self.store_answered_ms = self.clock()
-        elif self._store_answers:
+        elif self._is_store_available:
             age_ms = self.clock() - self.store_answered_ms
             logger.warning(
                 'store lost', reason=error.message, answered_ago_ms=age_ms
             )
-            self._store_answers = False
+            self._is_store_available = False
--- a/src/tulippin/jobs/state.py
+++ b/src/tulippin/jobs/state.py
@@ -1,4 +1,8 @@
-"""All that the job scheduler of one instance holds in memory."""
+"""In-memory state of the job scheduler for one unit.
+
+The reducer (``tulippin.jobs.core``) reads and changes it; only the owner of a
+unit fills more than ``Ownership``.
+"""
 
 from __future__ import annotations
 
@@ -30,42 +34,43 @@
 from tulippin.policies import InterferencePolicy, Policy
 from tulippin.types import Resources
 
-# Runs of one task in one epoch are numbered below this, so that a new
-# owner's runs are above all earlier ones without a record of each.
+# Run numbers that an epoch reserves for each task. A new owner's runs are thus
+# numbered above all earlier ones without a record of each run.
 RUNS_PER_EPOCH: t.Final = 65536
 
 
 @attrs.frozen
 class SchedulerConfig:
-    """What the scheduler knows from its settings.
+    """Settings of one unit's scheduler.
 
     Parameters
     ----------
     instance_id, session_id : str
-        The instance, and this life of its process.
+        The instance, and the current run of its process.
     unit : Unit
         The unit that the instance owns or stands by for.
     lease_ms : int
-        Silence after which others may take the unit: four renewals.
+        Time without a renewal after which another instance may take the unit;
+        it spans four renewals.
     renew_every_ms : int
         Time between renewals of the lease.
     worker_lease_ms : int
-        How long a worker runs on when its owner is silent; longer than
-        ``lease_ms`` and a takeover together.
+        How long a worker keeps its runs without a message from the owner;
+        longer than ``lease_ms`` and a takeover together.
     start_valid_ms : int
-        How long an order to start is valid, so that one that is carried
-        out late does nothing.
+        How long a start order is valid. One that is carried out later has no
+        effect.
     clock_drift_ratio : float
-        How slow a worker's clock may be.
+        Upper bound on how much slower a worker's clock may run.
     worker_lease_limit_ms : int
-        The longest lease that a worker grants: what another owner may
-        have given it.
+        The longest lease that a worker accepts, and so the longest that
+        another owner may have granted.
     finished_kept_ms : int
-        How long a finished job's state is kept.
+        How long the state of a finished job is kept.
     processor_share : float
-        The instance's processor, in cores of usual speed.
+        The instance's processor capacity, in cores of usual speed.
     is_without_advice : bool
-        Nothing that only advises is taken in, as earlier lives of the
+        Whether advisory inputs are ignored, because earlier runs of the
         process ended soon after their start.
     """
 
@@ -84,7 +89,7 @@
 
 
 class Phase(enum.Enum):
-    """What the instance is to its unit."""
+    """Role of the instance towards its unit."""
 
     STANDING_BY = 'standing_by'
     TAKING = 'taking'
@@ -95,10 +100,10 @@
 
 
 class AttemptState(enum.Enum):
-    """What is known of a run.
+    """State of a run as far as the owner knows.
 
-    ``DOUBTFUL``: the order to start brought no answer, and may still be
-    carried out until its deadline.
+    A run is ``DOUBTFUL`` if its start order got no answer: the order may still
+    be carried out until its deadline.
     """
 
     STARTING = 'starting'
@@ -111,20 +116,22 @@
 class Attempt:
     """One run of a task on a worker.
 
-    ``pace_percent`` is the pace that the worker has confirmed; nothing
-    where an earlier owner may have set another. ``load`` is as the worker
-    tells it, smoothed over time; ``tail_ms`` is the tail by now, made out
-    from ``load`` and an earlier reading of it, ``past_load``.
-    ``is_slow_start``: it was begun past what its worker bears at full
-    pace, and yields to all others.
-    ``load_part`` is the task's load beside the least of its siblings',
-    ``swing_part`` beside what the job's swing foretells.
-    ``crash_count`` workers had crashed under its task before. The worker has
-    to live for ``probation_ms`` of it, as far as is told, until it is taken
-    to bear it, and ``is_proved`` once it has for long enough to be above
-    suspicion. ``is_ordered``: the order was sent, or is about to be; one
-    under suspicion, or of a long-running task, is sent once it is durable
-    that it may have been.
+    ``pace_percent`` is the pace that the worker has confirmed, or None if an
+    earlier owner may have set another one. ``load`` is the smoothed value that
+    the worker reports; ``tail_ms`` is the current tail latency, computed from
+    ``load`` and its earlier value ``past_load``.
+    ``is_slow_start`` marks a run that was started although its worker could
+    not take it at full pace; it yields to all other runs.
+    ``load_part`` is the ratio of the task's load to the lowest load among the
+    other tasks of its job, ``swing_part`` the ratio to the load that the
+    job's load cycle predicts.
+    ``crash_count`` is the number of workers that crashed under the task
+    before. The run is on probation until the worker has survived
+    ``probation_ms`` of it; ``is_proved`` says that it has run long enough not
+    to be suspected of a crash.
+    ``is_ordered`` says that the start order was sent or is about to be. The
+    order of a suspected or long-running task is sent only after the record of
+    that start is durable.
     """
 
     key: TaskKey
@@ -162,12 +169,12 @@
 class Task:
     """A task with its runs.
 
-    ``unseen_on`` are workers where an earlier owner's run of it may go on.
-    ``spares`` are workers where it is likely to be started next.
-    ``has_run``: a run of it was there, as far as this owner knows.
-    ``crashes`` tells by worker which crashed, or may have, under it, and
-    ``open_start`` the run and worker of an earlier owner's last start, until
-    it is known what became of it.
+    ``unseen_on`` holds the workers where an unconfirmed run of the task may
+    go on, started by an earlier owner. ``spares`` are its standby workers.
+    ``has_run`` says whether the owner knows of any run of the task.
+    ``crashes`` holds, by worker, the certain and suspected crashes under the
+    task. ``open_start`` is the run and worker of an earlier owner's last start
+    while its outcome is unknown.
     """
 
     key: TaskKey
@@ -187,15 +194,16 @@
     open_start: tuple[int, str] | None = None
 
     def list_crashes(self) -> tuple[CrashRecord, ...]:
-        """Return its crashes as they are kept."""
+        """Return the crashes in the order in which they are stored."""
         return tuple(self.crashes[name] for name in sorted(self.crashes))
 
 
 @attrs.frozen
 class PassedTask:
-    """A task that went to another unit: which, as how-manieth pass.
+    """A task that was transferred to another unit.
 
-    ``least_run`` is the highest run that may have been started before.
+    ``pass_number`` counts the transfers of the task, this one included.
+    ``least_run`` is the highest run number that this unit may have started.
     """
 
     unit: int
@@ -205,24 +213,27 @@
 
 @attrs.define
 class Job:
-    """A job with its tasks, as far as they may run.
-
-    ``is_resumed``: it had begun before the owner took the unit;
-    ``knows_begun``: it is known which of its long-running tasks had.
-    ``durable`` is what the store tells of it, ``committing`` what it may tell
-    at any moment.
-    ``awaits_workers``: its tasks may run wherever an earlier owner's orders
-    still have effect; ``knows_places``: but for the long-running ones, of
-    which all places are known.
-    ``arrived_ms`` is when it was accepted, ``known_ms`` when this owner came
-    to know it, ``idle_since_ms`` when the last of its runs was over.
-    ``failed_on`` are workers where a run of it failed.
-    ``is_past_unknown``: what was kept of it can't be read, so that nothing
-    of it may be started. ``is_guest``: another unit is its home.
-    ``passes`` are the numbers of the passes by which tasks came, ``passed``
-    those that went. ``is_given_up``: some unit gave the job up, for ``reason``.
-    ``doubts`` is how often short tasks of it may have been started unseen on
-    a worker that died while the unit changed hands.
+    """A job with those of its tasks that have become ready to run.
+
+    ``is_resumed`` says that the job had begun before the owner took the unit,
+    ``knows_begun`` that it is known which of its long-running tasks had.
+    ``durable`` is the progress stored last, ``committing`` the progress whose
+    commit is in flight.
+    ``awaits_workers`` says that its tasks may have unconfirmed runs on any
+    worker where an earlier owner's orders are still in effect. With
+    ``knows_places`` this does not apply to long-running tasks, as all workers
+    that may run them are known.
+    ``arrived_ms`` is when the job was accepted, ``known_ms`` when this owner
+    received it, ``idle_since_ms`` when the last of its runs ended.
+    ``failed_on`` holds the workers where one of its runs failed.
+    ``is_past_unknown`` says that its stored progress can't be read, so that
+    none of its tasks may be started. ``is_guest`` marks a transferred job,
+    whose home unit is another one.
+    ``passes`` holds the transfer numbers of tasks that came from other units,
+    ``passed`` the tasks that went to others. ``is_given_up`` says that a unit
+    abandoned the job, for ``reason``.
+    ``doubts`` counts how often short tasks of the job may have had an
+    unconfirmed run on a worker that died while the unit changed its owner.
     """
 
     job_id: str
@@ -266,25 +277,26 @@
 
 @attrs.define
 class Worker:
-    """A worker with what runs there.
-
-    ``clock_offset_ms`` added to our clock gives the worker's clock or
-    less. At ``lapse_at_ms`` by our clock, the latest lease that any
-    order of ours may have given it has surely ended. ``slack`` is by
-    how much more the serving tasks of each image there may be slowed;
-    nothing where it must be worked out anew. ``exposure`` is what its
-    opportunistic tasks used at an earlier report, nothing where that is not
-    known; ``refused_ms`` is when a report of theirs was last refused as
-    impossible. ``may_run_anything``: an
-    earlier owner's orders may have effect there, on any task.
-    ``leaves_at_ms`` is the earliest end of a worker that drains.
-    ``unsettled`` are tasks of ends that were read, by the end's number, and
-    whose effect is not durable yet; ``early_ends`` those of ends that wait
-    to be read until their job is known. ``strays`` are runs there of jobs
-    that are not known, each with the time of the last order to stop it.
-    ``trials`` are runs there whose tasks are under suspicion of crashing
-    their workers. ``is_over``: another life was met at its address.
-    ``entry_ms`` is when the newest reading of its entry began.
+    """A worker with its runs.
+
+    ``clock_offset_ms`` added to the instance's clock gives a lower bound of
+    the worker's clock. At ``lapse_at_ms`` by the instance's clock, every lease
+    that this owner's messages may have granted the worker has expired.
+    ``slack`` is the further slowdown that the serving tasks of each image
+    there can take, or None if it has to be recomputed. ``exposure`` is what
+    its opportunistic tasks used at an earlier report, or None if unknown;
+    ``refused_ms`` is when such a sample was last logged as impossible.
+    ``may_run_anything`` says that an earlier owner's orders may still be in
+    effect there for any task.
+    ``leaves_at_ms`` is the earliest end of a draining worker.
+    ``unsettled`` holds the tasks of run ends, by number of the end, that were
+    processed but are not durable yet; ``early_ends`` the tasks whose ends are
+    deferred until their job is known. ``strays`` are orphaned runs, whose job
+    is unknown, with the time of the last order to stop each.
+    ``trials`` are runs on probation: their tasks are suspected of crashing
+    workers. ``is_over`` says that another incarnation of the worker answered
+    at its address.
+    ``entry_ms`` is when the newest read of its entry began.
     """
 
     entry: WorkerEntry
@@ -327,13 +339,14 @@
 
     @property
     def worker_id(self) -> str:
-        """The worker's id: one life of it."""
+        """The worker's id, which names one incarnation of the worker."""
         return self.entry.worker_id
 
     def has_room(self, wanted: Resources) -> bool:
-        """Whether so much is free; ``free`` without making an object.
+        """Whether the worker has the wanted resources free.
 
-        Asked for each worker by each waiting step: 0.7 us in place of 2.2.
+        This is called for each pair of worker and waiting step, so it compares
+        the fields without building ``free``: 0.7 us in place of 2.2 us.
         """
         capacity = self.entry.capacity
         if capacity is None:
@@ -349,20 +362,20 @@
 
     @property
     def free(self) -> Resources:
-        """Room that nothing reserves; none where the room is not known."""
+        """Unreserved capacity; zero if the worker's capacity is unknown."""
         capacity = self.entry.capacity
         return capacity.subtract(self.reserved) if capacity else Resources()
 
 
 @attrs.define
 class ShortDemand:
-    """What short tasks that reserve processors asked for lately.
+    """Recent demand of short tasks that reserve processors.
 
-    ``work``, in millicore-milliseconds, fades with time; ``squares`` and
-    ``cubes`` are the same times each task's processors, once and twice, so
-    that their mean and spread can be told, and ``bursts`` times those of all
-    tasks that came with it; ``memory`` is the work times each task's memory.
-    ``count`` is how many steps came.
+    All sums decay exponentially. ``work`` is in millicore-milliseconds.
+    ``squares`` and ``cubes`` are the work weighted by each task's processors
+    and by their square, from which mean and variance follow. ``bursts`` is the
+    work weighted by the processors of all tasks of the same step, ``memory``
+    the work weighted by each task's memory. ``count`` is the number of steps.
     """
 
     count: float = 0.0
@@ -376,14 +389,14 @@
 
 @attrs.define
 class Ownership:
-    """What is known of the unit's owner.
-
-    ``must_confirm``: a renewal sent after ``paused_ms`` has to be done
-    before any order is given. ``tried_version`` is the lease row's that
-    the last try to take the unit asked for.
-    ``release_why``: the unit is to be given up, after the next renewal and
-    not before ``release_after_ms``; ``released_from`` is the phase in which
-    that was tried last.
+    """Ownership of the unit, as this instance knows it.
+
+    ``must_confirm`` says that no order may be sent until a renewal sent after
+    ``paused_ms`` has succeeded. ``tried_version`` is the version of the lease
+    row that the last takeover attempt required.
+    ``release_why`` is the reason for a pending release, if any; it follows
+    the next renewal, but not before ``release_after_ms``. ``released_from`` is
+    the phase in which a release was last attempted.
     """
 
     phase: Phase = Phase.STANDING_BY
@@ -407,20 +420,20 @@
 
 @attrs.frozen
 class Lesson:
-    """A reading that the model took in, and what it expects since.
+    """A sample that the interference model learned from, and its effect.
 
     Parameters
     ----------
     worker_id, image : str
-        Where the reading is from, and whose tail it is.
+        The worker, and the serving image whose tail latency was sampled.
     tail_ms, undisturbed_ms : float
-        The tail, and the least of its siblings'.
+        The tail latency, and the lowest one among tasks of the same job.
     load, slowdown : float
-        What was made of them.
+        Load and slowdown estimated from these.
     exposure : dict of str to float
-        Tenths of the worker's processors in use beside it, by image.
+        Tenths of the worker's processors in use beside the task, by image.
     expected : dict of str to float
-        The excess expected of each image for a tenth, from now on.
+        The updated expectation of the excess per tenth, by image.
     """
 
     worker_id: str
@@ -435,16 +448,18 @@
 
 @attrs.define
 class SchedulerState:
-    """Everything the reducer reads and changes.
-
-    ``queue_kinds`` tells which sorts of tasks have come by each queue;
-    ``is_demand_told``: the last owner told what short ones ask for.
-    ``roomy_ms`` tells by service when less than half of its room was last
-    reserved.
-
-    Nothing that only advises is taken in until ``advice_after_ms``, as an error
-    came up among it; ``advice_pause_ms`` is how long that was the last time,
-    and ``rows_aside`` names versions of rows that are never taken in.
+    """Everything that the reducer reads and changes.
+
+    ``queue_kinds`` says which kinds of tasks have arrived in each queue, and
+    ``is_demand_told`` whether the previous owner published the demand of short
+    ones. ``roomy_ms`` holds by service the last time when less than half of
+    its capacity was reserved.
+    ``lost_unread`` holds the workers that died or lapsed before this owner
+    read a report of theirs, with whether their crash is certain.
+
+    Advisory inputs are ignored until ``advice_after_ms`` after one of them
+    raised an error. ``advice_pause_ms`` is the length of the last such pause,
+    and ``rows_aside`` names row versions that are excluded for good.
     """
 
     config: SchedulerConfig
@@ -523,10 +538,10 @@
 
     @property
     def is_without_advice(self) -> bool:
-        """Whether what only advises is left out by now."""
+        """Whether advisory inputs are ignored at present."""
         is_early = self.now_ms < self.advice_after_ms
         return is_early or self.config.is_without_advice
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increase the counter of a name."""
         self.counters[name] = self.counters.get(name, 0) + amount
--- a/src/tulippin/jobs/types.py
+++ b/src/tulippin/jobs/types.py
@@ -1,4 +1,4 @@
-"""Jobs of steps and tasks, the queues they come by, and workers."""
+"""Types of the job scheduler: jobs, steps, tasks, queues and workers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class JobState(enum.Enum):
-    """What a caller is told of its job."""
+    """State of a job as shown to its caller."""
 
     PENDING = 'pending'
     RUNNING = 'running'
@@ -27,10 +27,10 @@
 
 
 class RunOutcome(enum.Enum):
-    """How one run of a task ended, as its worker tells it.
+    """How a run of a task ended, as reported by its worker.
 
-    ``BROKEN`` ended because another member of its gang did, ``ALONE``
-    because the others never came.
+    A ``BROKEN`` run ended because another member of its gang did, an ``ALONE``
+    one because the other members never started.
     """
 
     DONE = 'done'
@@ -42,7 +42,7 @@
 
 
 class TaskKey(t.NamedTuple):
-    """Names a task: its job, the job's occurrence, its step, its number."""
+    """Identifies a task by job, occurrence, step and index in the step."""
 
     job_id: str
     occurrence: int
@@ -50,17 +50,17 @@
     index: int
 
     def format(self) -> str:
-        """Return the name under which workers know the task."""
+        """Return the task's name as used in messages to and from workers."""
         return f'{self.job_id}.{self.occurrence}.{self.step}.{self.index}'
 
 
 def parse_task(name: str) -> TaskKey:
-    """Return the key that a task's name stands for.
+    """Parse the name of a task, as made by ``TaskKey.format``.
 
     Raises
     ------
     ValueError
-        If the name is not that of a task.
+        If the name is malformed.
     """
     job_id, occurrence, step, index = name.split('.')
     return TaskKey(job_id, int(occurrence), int(step), int(index))
@@ -68,44 +68,44 @@
 
 @attrs.frozen
 class Step:
-    """Tasks of one kind within a job.
+    """A group of equal tasks within a job.
 
     Parameters
     ----------
     task_count : int
-        How many tasks the step has.
+        The number of tasks in the step.
     size : Resources
-        What each task takes of its worker.
+        The resources that each task takes of its worker.
     estimated_ms : int
-        The caller's rough guess of one task's run time.
+        The caller's rough estimate of one task's run time.
     after : tuple of int
         Steps whose tasks must all be done first.
     checkpointing : bool
-        A task that stops can be resumed from its last checkpoint.
+        Whether a stopped task can be resumed from its last checkpoint.
     gang : bool
-        The tasks work only together, under one run.
+        Whether the tasks only work together, under one run.
     same_rack : bool
-        A gang on several racks works more slowly.
+        Whether a gang is slower on several racks.
     required_label : str
         A label that the worker must have.
     preferred_rack : str
-        The rack that holds the data; elsewhere the work is slower.
+        The rack that holds the data; tasks are slower elsewhere.
     max_per_worker : int
-        The most tasks of the step on one worker; zero is no limit.
+        Limit of the step's tasks on one worker; zero means no limit.
     allow_duplicates : bool
-        Copies may run side by side; the first to end counts.
+        Whether copies of a task may run in parallel; the first to end counts.
     long_running : bool
-        The tasks run until the job is cancelled.
+        Whether the tasks run until the job is cancelled.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        The image that the tasks run; tasks of one image behave alike.
     target_ms : int
-        Long-running tasks are to answer their own users within this.
+        The latency target of a long-running task towards its own users.
     opportunistic : bool
-        The tasks use processors that the others leave idle, and
-        reserve none.
+        Whether the tasks reserve no processors and use those that other tasks
+        leave idle.
     max_unavailable : int
-        Tasks of a long-running step that may be away at once by the
-        system's doing; zero is no bound.
+        How many tasks of a long-running step the scheduler may make
+        unavailable at a time; zero means no limit.
     """
 
     task_count: int
@@ -127,7 +127,7 @@
 
     @functools.cached_property
     def reserved(self) -> Resources:
-        """What a task takes from its worker's room."""
+        """The resources that a task reserves on its worker."""
         if self.opportunistic:
             return attrs.evolve(self.size, cpu_millicores=0)
         return self.size
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class Schedule:
-    """Occurrences of a job: ``count`` times, each ``interval_ms`` apart."""
+    """Occurrences of a job: ``count`` of them, ``interval_ms`` apart."""
 
     first_at_ms: int = 0
     interval_ms: int = 0
@@ -144,9 +144,9 @@
 
 @attrs.frozen
 class JobRequest:
-    """What a caller asks to be run.
+    """A caller's request to run a job.
 
-    ``spec`` is handed to each task as it is.
+    ``spec`` is passed to each task unchanged.
     """
 
     spec: str
@@ -155,7 +155,7 @@
 
     @property
     def occurrence_count(self) -> int:
-        """How many times the steps run."""
+        """The number of times that all steps run."""
         return max(1, self.schedule.count)
 
 
@@ -166,19 +166,20 @@
     Parameters
     ----------
     name, host, path_prefix : str
-        The queue's name, and where callers reach it.
+        The queue's name, and the host and path of its API calls.
     service : str
-        Whose workers run its tasks.
+        The service whose workers run its tasks.
     priority : int
-        Zero goes first.
+        The priority of its jobs; zero is the most urgent.
     max_attempts : int
-        Runs of one task that may fail.
+        The number of failed runs of one task after which its job fails.
     stretch : float
-        The objective, as a multiple of the job's longest chain.
+        The objective for a job's time, as a multiple of its longest chain of
+        steps.
     target_latency_ms : int
-        What the objective adds to that.
+        A constant that the objective adds to this.
     advised : bool
-        Its policy needs a ticket for each step and worker.
+        Whether a start needs a ticket for its step and worker.
     """
 
     name: str
@@ -194,7 +195,10 @@
 
 @attrs.frozen
 class Service:
-    """A pool of workers; ``enforces_capacity``: they refuse overload."""
+    """A pool of workers.
+
+    ``enforces_capacity`` says that its workers refuse tasks that don't fit.
+    """
 
     name: str
     enforces_capacity: bool = False
@@ -205,8 +209,9 @@
 class Configuration:
     """The operators' configuration as of one version.
 
-    The limits are of one call, in bytes; the defaults are those of the
-    users' sheets and of the HTTP library.
+    The limits are in bytes for one call. Their defaults are the limit on
+    bodies given in the users' data sheets and that on headers of the HTTP
+    library.
     """
 
     version: int
@@ -217,7 +222,7 @@
 
     @functools.cached_property
     def service_names(self) -> frozenset[str]:
-        """The services whose workers may be used."""
+        """The services whose workers the scheduler may use."""
         return frozenset(
             (
                 *(service.name for service in self.services),
@@ -227,7 +232,7 @@
 
     @functools.cached_property
     def guarded_services(self) -> frozenset[str]:
-        """The services whose workers refuse what does not fit."""
+        """The services whose workers refuse tasks that don't fit."""
         return frozenset(
             service.name
             for service in self.services
@@ -235,7 +240,7 @@
         )
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue of a host with the longest matching prefix."""
+        """Return the queue of a host with the longest matching path prefix."""
         matching = [
             queue
             for queue in self.queues
@@ -248,12 +253,11 @@
 
 @attrs.frozen
 class WorkerEntry:
-    """A worker as the platform's list gives it.
+    """A worker's entry in the platform's list.
 
-    ``leaves_in_ms`` is the least time left of a drain, and ``clock_ms``
-    the worker's own steady clock when it wrote the entry. No ``capacity``:
-    the entry was not read, and its room is not known, which is not a room
-    of nothing.
+    ``leaves_in_ms`` is the minimum remaining time of a drain, and ``clock_ms``
+    the worker's own steady clock when it wrote the entry. ``capacity`` is None
+    if the entry could not be read: the capacity is then unknown, not zero.
     """
 
     worker_id: str
@@ -273,11 +277,11 @@
 class RunningTask:
     """A run that a worker reports as present.
 
-    ``progress_percent`` is the share of its work that is done, and for a
-    long-running task the share at which it is at work. ``load`` is the
-    tail in ms for a task with a latency target, and otherwise the
-    millicores in use over the last half second; nothing where the worker
-    does not tell it.
+    ``progress_percent`` is the share of the work that is done, and for a
+    long-running task the share of its full service at which it works.
+    ``load`` is the tail latency in ms for a task with a latency target, and
+    otherwise the millicores used over the last half second; None if the worker
+    does not report it.
     """
 
     key: TaskKey
@@ -289,7 +293,7 @@
 
 @attrs.frozen
 class EndedRun:
-    """The end of a run; ``number`` rises within a worker's life."""
+    """The end of a run; ``number`` rises within a worker's incarnation."""
 
     number: int
     key: TaskKey
@@ -300,7 +304,7 @@
 
 @attrs.frozen
 class WorkerReport:
-    """A worker's account of itself, by its own steady clock."""
+    """A worker's report of its runs, with the time by its steady clock."""
 
     clock_ms: int
     running: tuple[RunningTask, ...] = ()
@@ -308,11 +312,11 @@
 
 
 class StartOutcome(enum.Enum):
-    """What came of an order to a worker.
+    """Outcome of an order to a worker.
 
-    ``UNKNOWN`` may have been done, or may be done seconds later;
-    ``NOT_SENT`` and everything above it surely did nothing, except that
-    ``STARTED`` has.
+    ``STARTED`` means that the order was carried out. An order with ``UNKNOWN``
+    outcome may have been carried out, or may be seconds later. Every other
+    outcome guarantees that it had and will have no effect.
     """
 
     STARTED = 'started'
@@ -330,7 +334,7 @@
 
 @attrs.frozen
 class OrderAnswer:
-    """A worker's answer to an order; no clock where none was told."""
+    """A worker's answer to an order; ``clock_ms`` is None if not reported."""
 
     outcome: StartOutcome
     clock_ms: int | None = None
--- a/src/tulippin/jobs/unit_shell.py
+++ b/src/tulippin/jobs/unit_shell.py
@@ -1,7 +1,7 @@
 """The shell of one unit: its state, its effects, and its feeds.
 
-Every instance has one for each unit of the layout; only the owner's does
-more than watch the lease.
+Every instance has one for each unit of the layout. On instances that don't
+own the unit it only watches the lease.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 if t.TYPE_CHECKING:
     from tulippin.jobs.shell import SchedulerShell
 
-# Imported for the effects that they register.
+# Imported only for the functions that they register for effects.
 EFFECT_MODULES: t.Final = (_row_effects, _worker_effects)
 
 _HELD_PHASES: t.Final = frozenset(
@@ -45,18 +45,21 @@
 
 
 class UnitShell:
-    """One unit as an instance sees it.
+    """Runs the scheduler of one unit until an error ends it.
+
+    After an unexpected error the shell is replaced by a new one, which loads
+    its state from the store.
 
     Parameters
     ----------
     config : SchedulerConfig
-        What the instance knows from its settings, and the unit.
+        The settings, which include the unit.
     parent : SchedulerShell
-        The instance's shell, which runs all units' events in turn.
+        The instance's shell, which dispatches the events of all units.
     rows : UnitRows, optional
-        What is known of the unit's owner, from an earlier life.
+        Lease and epoch as known to the shell that this one replaces.
     restarts : RestartLog, optional
-        How earlier lives of the unit have failed here.
+        Earlier failures of the unit on this instance.
     """
 
     def __init__(
@@ -70,7 +73,7 @@
         self.state: SchedulerState = core.make_state(config)
         self.is_over = False
         self.is_resting = False
-        # Whether it was read who owns the unit.
+        # Whether the owner of the unit has been read.
         self.is_seen = False
         self._parent = parent
         self._rows = rows or UnitRows()
@@ -80,27 +83,27 @@
 
     @property
     def lease(self) -> LeaseRecord | None:
-        """The owner's last sign of life that could be read."""
+        """The last lease that could be read."""
         return self._rows.lease
 
     @lease.setter
     def lease(self, lease: LeaseRecord) -> None:
-        """Know a lease that was written here."""
+        """Set the lease after this instance has written it."""
         self._rows.lease = lease
 
     @property
     def lease_seen_ms(self) -> int:
-        """When the lease was last seen to change."""
+        """When the last change of the lease was read."""
         return self._rows.lease_seen_ms
 
     @property
     def ports(self) -> SchedulerPorts:
-        """Everything outside."""
+        """The interfaces to the platform."""
         return self._parent.ports
 
     @property
     def answer_times(self) -> AnswerTimes:
-        """How long the store takes to answer transactions."""
+        """Statistics of the time that the store takes for transactions."""
         return self._parent.answer_times
 
     @property
@@ -110,50 +113,51 @@
 
     @property
     def is_owner(self) -> bool:
-        """Whether the instance decides for the unit now."""
+        """Whether the instance owns the unit and has loaded it."""
         return not self.is_over and self.state.ownership.phase is Phase.ACTIVE
 
     @property
     def is_held(self) -> bool:
-        """Whether the instance has the unit, or is about to."""
+        """Whether the instance owns the unit, or is taking or releasing it."""
         phase = self.state.ownership.phase
         return not self.is_over and phase in _HELD_PHASES
 
     @property
     def has_left(self) -> bool:
-        """Whether a planned stop has nothing to wait for here."""
+        """Whether a planned stop need not wait for this unit."""
         return self.is_resting or self.state.ownership.phase is Phase.LEFT
 
     @property
     def may_be_free(self) -> bool:
-        """Whether the instance may have to take the unit by now."""
+        """Whether the unit may be free for this instance to take."""
         return _ownership.may_be_free(self.state, self.clock())
 
     def clock(self) -> int:
-        """Return monotonic milliseconds."""
+        """Return the monotonic time in milliseconds."""
         return self._parent.clock()
 
     def post(self, event: ev.JobEvent) -> None:
-        """Put an event of this unit into the instance's inbox.
+        """Queue an event for this unit.
 
-        A life that rests is told all that still counts when it begins.
+        Events are dropped while the shell waits after a failure; it gets all
+        current information when it starts.
         """
         if not (self.is_over or self.is_resting):
             self._parent.post_to(self, event)
 
     def start(self, task: t.Callable[..., t.Awaitable[None]], *args) -> None:
-        """Run an effect's task beside the loop."""
+        """Run the task of an effect concurrently with the loop."""
         if not self.is_over:
-            self._parent.start(self._run, task, args)
+            self._parent.start(self._run_task, task, args)
 
-    async def _run(
+    async def _run_task(
         self,
         task: t.Callable[..., t.Awaitable[None]],
         args: tuple[t.Any, ...],
     ) -> None:
-        """Run a task until its end, or the end of this life of the unit."""
+        """Run a task until it ends or this shell does."""
         if self.is_over:
-            # It was begun, and had no turn before that end.
+            # The shell ended after the task was started and before it ran.
             return
         began_ms = self.clock()
         with trio.CancelScope() as scope:
@@ -161,7 +165,7 @@
             try:
                 await task(*args)
             except* Exception as errors:
-                self._fail(errors, task=task.__qualname__)
+                self._handle_failure(errors, task=task.__qualname__)
         self._scopes.discard(scope)
         if args and isinstance(args[0], fx.JobEffect):
             self.observe(
@@ -169,22 +173,22 @@
             )
 
     def takes(self, row: StoredRow) -> bool:
-        """Whether a row that only advises is taken in."""
+        """Whether an advisory row is used."""
         is_aside = name_row(row) in self._restarts.aside
         is_early = self.clock() < self._restarts.advice_after_ms
         return not (is_aside or is_early or self.config.is_without_advice)
 
     def observe(self, name: str, label: str, began_ms: int) -> None:
-        """Keep a latency that began at a time and ends now."""
+        """Record the time since ``began_ms`` in a latency metric."""
         self._parent.observe(name, label, began_ms)
 
     def note_store(self, error: UnavailableError | None = None) -> None:
-        """Note whether the store answers."""
+        """Record whether the store answered."""
         self._parent.note_store(error)
 
     @property
     def listed_workers(self) -> dict[str, WorkerEntry]:
-        """All workers on the platform's list, known to an owner only."""
+        """All workers on the platform's list; empty unless owned."""
         return self._feeds.listed if self._feeds else {}
 
     def has_worker(self, entry: WorkerEntry) -> bool:
@@ -192,24 +196,24 @@
         return self._parent.get_unit_number(entry) == self.config.unit.number
 
     def tick(self, wall_ms: int) -> None:
-        """Let time pass for the unit, if that may change anything."""
+        """Post a tick, unless it could not change anything."""
         try:
             is_due = self.is_held or self.may_be_free
         except Exception as error:
-            self._fail(error, task='tick')
+            self._handle_failure(error, task='tick')
             return
         if is_due:
             self.post(ev.Ticked(self.clock(), wall_ms))
 
     def step(self, event: ev.JobEvent) -> None:
-        """Reduce one event and begin its effects."""
+        """Reduce one event and start its effects."""
         if self.is_over:
             return
         event = attrs.evolve(event, at_ms=self.clock())
         try:
             self._reduce(event)
         except Exception as error:
-            self._fail(
+            self._handle_failure(
                 error,
                 list_sources(event),
                 event=type(event).__name__,
@@ -220,19 +224,20 @@
             perform(effect, self)
         self.is_seen |= isinstance(event, ev.LeaseSeen)
 
-    def _fail(
+    def _handle_failure(
         self,
         error: Exception,
         sources: t.Sequence[str] = (),
         **fields: t.Any,
     ) -> None:
-        """End this life of the unit, and begin the next one.
+        """End this shell after an error, and start the next one.
 
-        All that runs for it is ended, as by the end of the process: what is
-        under way is refused once the unit is taken under the next epoch.
+        All its tasks are cancelled, as at the end of the process. Orders and
+        writes in flight are refused once the unit is taken under the next
+        epoch.
         """
         if self.is_over:
-            # What else ends with this life is told, and has no other effect.
+            # Further errors of an ended shell are only reported.
             failures.tell(
                 'task failed', error, unit=self.config.unit.number, **fields
             )
@@ -254,10 +259,10 @@
         for scope in self._scopes:
             scope.cancel()
         self.forget_unit()
-        self._parent.replace_unit(self, self._begin_anew(), wait_ms)
+        self._parent.replace_unit(self, self._make_replacement(), wait_ms)
 
-    def _begin_anew(self) -> UnitShell:
-        """Return the unit's next life, which knows what the rows tell."""
+    def _make_replacement(self) -> UnitShell:
+        """Return the next shell, which starts from the known rows."""
         session_id = self.config.session_id.partition('/')[0]
         config = attrs.evolve(
             self.config, session_id=f'{session_id}/{self._restarts.life}'
@@ -269,24 +274,24 @@
         return unit
 
     def see_rows(self, rows: t.Iterable[StoredRow]) -> None:
-        """Take in changed rows of the unit's own part."""
+        """Process changed rows of the unit's own part."""
         try:
-            self._take_rows(rows)
+            self._process_rows(rows)
         except Exception as error:
-            self._fail(error, task='rows')
+            self._handle_failure(error, task='rows')
 
-    def _take_rows(self, rows: t.Iterable[StoredRow]) -> None:
+    def _process_rows(self, rows: t.Iterable[StoredRow]) -> None:
         for row in rows:
             self._rows.take(row, self.clock())
         self.post(self._rows.make_event(self.clock()))
 
     def follow_unit(self) -> None:
-        """Load the unit that is owned now, and follow it."""
+        """Load the unit after taking it, and follow its changes."""
         self._feeds = UnitFeeds(self)
         self.start(self._feeds.run)
 
     def forget_unit(self) -> None:
-        """Stop following the unit."""
+        """Stop following the unit's changes."""
         if self._feeds is not None:
             self._feeds.scope.cancel()
             self._feeds = None
@@ -315,7 +320,7 @@
 @perform.register
 def _forget_unit(effect: fx.ForgetUnit, shell: UnitShell) -> None:
     shell.forget_unit()
-    # What the rows told while the unit was ours was not heeded, and they are
-    # told again only when they change: a unit that was given up meanwhile
-    # would stay without an owner.
+    # Row changes were ignored while the instance owned the unit, and are not
+    # reported again unless the rows change. Without this, a unit that was
+    # released in the meantime would stay without an owner.
     shell.see_rows(())
--- a/src/tulippin/jobs/views.py
+++ b/src/tulippin/jobs/views.py
@@ -1,4 +1,4 @@
-"""What operators see of a scheduler's state."""
+"""Views of a scheduler's state for operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def show_unit(state: SchedulerState) -> dict[str, t.Any]:
-    """Return who owns the unit, as this instance knows it."""
+    """Return the ownership of the unit, as this instance knows it."""
     ownership = state.ownership
     return {
         'unit': state.config.unit.number,
@@ -25,7 +25,7 @@
 
 
 def show_job(job: Job) -> dict[str, t.Any]:
-    """Return a job with what is left of it."""
+    """Return a job with its remaining tasks and its runs."""
     return {
         'job': job.job_id,
         'queue': job.queue.name,
@@ -55,7 +55,7 @@
 
 
 def show_attempt(attempt: Attempt) -> dict[str, t.Any]:
-    """Return a run as last heard of."""
+    """Return a run as last reported."""
     return {
         'task': attempt.key.format(),
         'run': attempt.run,
@@ -68,7 +68,7 @@
 
 
 def show_worker(worker: Worker, state: SchedulerState) -> dict[str, t.Any]:
-    """Return a worker with its room and what keeps it from work."""
+    """Return a worker with its free capacity and what keeps tasks away."""
     return {
         'worker': worker.worker_id,
         'service': worker.entry.service,
@@ -88,7 +88,7 @@
 
 
 def show_queues(state: SchedulerState) -> dict[str, t.Any]:
-    """Return the queues in force and how many jobs wait in each."""
+    """Return the configured queues and how many jobs wait in each."""
     configuration = state.configuration
     if configuration is None:
         return {'version': 0, 'queues': []}
@@ -111,7 +111,7 @@
 
 
 def show_model(state: SchedulerState) -> list[dict[str, t.Any]]:
-    """Return what is learned of images that disturb each other."""
+    """Return what the interference model learned, largest excess first."""
     rows = []
     for serving, beside, mean, spread, count in state.model.iter_learned():
         rows.append(
@@ -127,7 +127,7 @@
 
 
 def dump(state: SchedulerState) -> dict[str, t.Any]:
-    """Return everything of one unit at once."""
+    """Return the complete state of one unit."""
     return {
         'unit': show_unit(state),
         'queues': show_queues(state),
--- a/tests/tulippin/jobs/test_records.py
+++ b/tests/tulippin/jobs/test_records.py
@@ -152,7 +152,9 @@
     with logbook.TestHandler() as handler:
         assert write_account(account, state) is None
     assert state.counters['accounts_not_kept'] == 1
-    assert [one.message for one in handler.records] == ['account not kept']
+    assert [one.message for one in handler.records] == [
+        'release report not written'
+    ]
 
 
 # -- tasks that another unit passed on -----------------------------------------
