--- a/tests/tulippin/jobs/test_loading_leases.py
+++ b/tests/tulippin/jobs/test_loading_leases.py
@@ -1,8 +1,8 @@
-"""What the lease of an owner tells that still loads its unit.
+"""Lease of an owner that is loading its unit.
 
-Its own state is empty until the jobs and workers are read. It renews its
-lease meanwhile, and a unit that is slow to load was said to have no job
-that waits, and no worker that a job could run on.
+The owner's state is empty until jobs and workers are read, while it renews
+its lease already. The lease must not publish that no job waits, or that no
+worker can run a job, while a unit is slow to load.
 """
 
 import random
@@ -29,22 +29,24 @@
 
 
 @pytest.fixture
-def held(monkeypatch):
-    """Return the clients whose loading of the unit does not end."""
-    held = set()
+def stalled_clients(monkeypatch):
+    """Return a set; clients in it do not finish loading the unit."""
+    stalled_clients = set()
     inner = StoreView.read_rows
 
     async def read_rows(view, table, *arguments):
-        while view.client in held and table == Unit(0).progress_table:
+        while (
+            view.client in stalled_clients and table == Unit(0).progress_table
+        ):
             await trio.sleep(0.01)
         return await inner(view, table, *arguments)
 
     monkeypatch.setattr(StoreView, 'read_rows', read_rows)
-    return held
+    return stalled_clients
 
 
 async def submit_waiting(fleet, count):
-    """Hand in jobs that no worker has room for."""
+    """Submit jobs that are too large for any worker."""
     large = make_request(make_step(cpu=1_000_000))
     intake = next(iter(fleet.instances.values())).intake
     for number in range(count):
@@ -52,7 +54,7 @@
     await trio.sleep(2)
 
 
-async def leave(fleet, name):
+async def stop_planned(fleet, name):
     await fleet.instances[name].shell.leave()
     fleet.kill(name)
 
@@ -67,7 +69,7 @@
 
 
 async def watch_waiting(fleet, for_s):
-    """Return the counts that instances told that do not load the unit."""
+    """Return the counts of waiting jobs reported by standby instances."""
     counts = set()
     with trio.move_on_after(for_s):
         while True:
@@ -79,51 +81,51 @@
 
 
 @pytest.mark.parametrize('is_planned', [True, False])
-def test_jobs_that_wait_are_counted_while_a_unit_is_slow_to_load(
-    run_virtual, held, is_planned
+def test_waiting_jobs_are_counted_while_unit_loads_slowly(
+    run_virtual, stalled_clients, is_planned
 ):
     async def run():
         async with open_fleet(instances=3, workers=1) as fleet:
             await submit_waiting(fleet, 4)
-            held.update(fleet.instances)
+            stalled_clients.update(fleet.instances)
             if is_planned:
-                await leave(fleet, fleet.get_owner())
+                await stop_planned(fleet, fleet.get_owner())
             else:
                 fleet.kill(fleet.get_owner())
             await find_loading(fleet)
             counts = await watch_waiting(fleet, 2.5)
-            held.clear()
+            stalled_clients.clear()
             return counts | await watch_waiting(fleet, 2)
 
     assert run_virtual(run) == {4}
 
 
-def test_jobs_that_wait_are_counted_where_a_taker_leaves_before_it_loaded(
-    run_virtual, held
+def test_waiting_jobs_are_counted_if_loading_owner_stops(
+    run_virtual, stalled_clients
 ):
     async def run():
         async with open_fleet(instances=4, workers=1) as fleet:
             await submit_waiting(fleet, 4)
-            held.update(fleet.instances)
-            await leave(fleet, fleet.get_owner())
-            await leave(fleet, await find_loading(fleet))
+            stalled_clients.update(fleet.instances)
+            await stop_planned(fleet, fleet.get_owner())
+            await stop_planned(fleet, await find_loading(fleet))
             counts = await watch_waiting(fleet, 2)
-            held.clear()
+            stalled_clients.clear()
             return counts | await watch_waiting(fleet, 2)
 
     assert run_virtual(run) == {4}
 
 
-def test_room_is_told_on_while_a_unit_is_loaded(run_virtual, held):
+def test_capacity_is_published_while_unit_loads(run_virtual, stalled_clients):
     async def run():
         async with open_fleet(instances=2, workers=2) as fleet:
             await trio.sleep(2)
-            held.update(fleet.instances)
-            await leave(fleet, fleet.get_owner())
+            stalled_clients.update(fleet.instances)
+            await stop_planned(fleet, fleet.get_owner())
             name = await find_loading(fleet)
             await trio.sleep(1.2)
             loading = fleet.instances[name].shell.units[0].lease
-            held.clear()
+            stalled_clients.clear()
             await fleet.wait_owner()
             await trio.sleep(1.2)
             return loading, fleet.instances[name].shell.units[0].lease
@@ -133,16 +135,16 @@
     assert not loaded.is_loading
     assert loading.room.capacity_millicores == loaded.room.capacity_millicores
     assert loading.room.labels == loaded.room.labels
-    # Nothing is started there yet.
+    # No task can be started before the unit is loaded.
     assert loading.room.places == ()
     assert loading.room.largest_free == Resources()
 
 
-# -- homes -------------------------------------------------------------------
+# -- choice of a home unit -----------------------------------------------------
 
 
 @attrs.define
-class SeenUnit:
+class FakeUnit:
     config: SchedulerConfig
     lease: LeaseRecord
     lease_seen_ms: int = NOW_MS
@@ -151,12 +153,12 @@
 
 def make_units(*leases):
     return {
-        number: SeenUnit(SchedulerConfig('i', 'i:1', unit=Unit(number)), lease)
+        number: FakeUnit(SchedulerConfig('i', 'i:1', unit=Unit(number)), lease)
         for number, lease in enumerate(leases)
     }
 
 
-def choose(units, step):
+def list_chosen_units(units, step):
     layout = LayoutRecord({f'r{number}': number for number in units})
     source = random.Random(1)
     return {
@@ -176,20 +178,20 @@
     return LeaseRecord('s', 'o', room=room, **options)
 
 
-# A job that asks for a label went to any unit while the only one that has it
-# was loaded, and waits there for good: a job does not leave its home.
-def test_job_waits_for_the_loading_unit_that_alone_has_its_label():
+# A job must not go to another unit while the only one with its required label
+# is being loaded. It would wait there forever, as its home does not change.
+def test_loading_unit_is_chosen_for_label_that_only_it_has():
     units = make_units(
         make_lease('a'), make_lease('b', is_loading=True), make_lease('a')
     )
     step = Step(1, Resources(1000, 100), required_label='b')
-    assert choose(units, step) == {1}
+    assert list_chosen_units(units, step) == {1}
 
 
 @pytest.mark.parametrize('is_idle', [True, False])
-def test_unit_that_is_loaded_gets_no_job_though_it_tells_its_room(is_idle):
+def test_loading_unit_is_not_chosen_if_others_have_capacity(is_idle):
     units = make_units(
         make_lease('a'), make_lease('a', is_loading=True), make_lease('a')
     )
     step = Step(1, Resources(1000, 100), opportunistic=is_idle)
-    assert choose(units, step) == {0, 2}
+    assert list_chosen_units(units, step) == {0, 2}
--- a/tests/tulippin/jobs/test_reached_records.py
+++ b/tests/tulippin/jobs/test_reached_records.py
@@ -1,8 +1,9 @@
-"""Records of whatever state a unit's owner can reach, and what they restore.
+"""Records of generated states of a unit's owner can be read and restored.
 
-What users saw: one owner kept a figure that ended the next one and all
-others; and jobs of which nothing was started again, as their own progress
-was refused. No example had shown either. So the events are generated.
+These tests guard against figures in a record that end each owner which reads
+it, and against progress that the next owner refuses, so that no task of the
+job is started again. Both come from rare sequences of events, which are
+therefore generated.
 """
 
 import attrs
@@ -67,12 +68,12 @@
 sequences = st.lists(steps, min_size=20, max_size=60)
 
 
-def take(unit, step):
+def apply_step(unit, step):
     name, *arguments = step
     getattr(unit, name)(*arguments)
 
 
-def begin():
+def make_unit():
     unit = PaperUnit()
     for kind in range(3):
         unit.submit(kind)
@@ -82,19 +83,19 @@
 
 @settings(max_examples=200)
 @given(sequences)
-def test_each_record_that_is_written_reads_back(sequence):
-    unit = begin()
+def test_written_records_are_valid(sequence):
+    unit = make_unit()
     for step in sequence:
-        take(unit, step)
+        apply_step(unit, step)
     unit.release()
 
 
 @settings(max_examples=200)
 @given(sequences)
-def test_next_owner_knows_what_is_durable(sequence):
-    unit = begin()
+def test_next_owner_restores_durable_state(sequence):
+    unit = make_unit()
     for step in sequence:
-        take(unit, step)
+        apply_step(unit, step)
     while unit.commits:
         unit.commit()
     unit.crash()
@@ -102,35 +103,35 @@
     unit.check_restored()
 
 
-# -- records that no owner writes, or that follow from others ------------------
+# -- records of instances, and records that are derived from others ------------
 
-places = st.tuples(
+entry_positions = st.tuples(
     st.sampled_from([f'rack-{number}' for number in range(12)] + ['']),
     st.sampled_from(['zone-a', 'zone-b', '']),
 )
 
 
-def make_entries(where):
+def make_entries(positions):
     return [
         WorkerEntry(f'w{number}', 's', 'a:1', domain, Resources(1), rack=rack)
-        for number, (rack, domain) in enumerate(where)
+        for number, (rack, domain) in enumerate(positions)
     ]
 
 
-@given(st.lists(st.lists(places, max_size=80), min_size=1, max_size=4))
-def test_each_layout_reads_back_and_grows_the_same(listings):
+@given(st.lists(st.lists(entry_positions, max_size=80), min_size=1, max_size=4))
+def test_layout_read_back_is_extended_equally(listings):
     first, *later = map(make_entries, listings)
     layout = make_layout(first)
     for entries in later:
-        again = read_back(layout)
-        assert again == layout
+        decoded = read_back(layout)
+        assert decoded == layout
         layout = extend_layout(layout, entries)
-        assert extend_layout(again, entries) == layout
+        assert extend_layout(decoded, entries) == layout
     assert read_back(layout).unit_numbers == layout.unit_numbers
 
 
 @given(st.lists(st.integers(0, 99), min_size=1, unique=True), st.booleans())
-def test_home_reads_back(units, is_cancelled):
+def test_home_record_is_valid(units, is_cancelled):
     home = HomeRecord(units[0], tuple(units[1:]), is_cancelled)
     assert read_back(home) == home
     failed = attrs.evolve(home, is_failed=True)
@@ -149,6 +150,6 @@
     ),
     st.integers(0, 10**6),
 )
-def test_account_that_is_handed_on_reads_back(workers, unused_ms):
+def test_release_report_handed_over_is_valid(workers, unused_ms):
     account = AccountRecord(4, workers).hand_on(unused_ms)
     assert read_back(account) == account
--- a/tests/tulippin/jobs/test_records.py
+++ b/tests/tulippin/jobs/test_records.py
@@ -1,8 +1,8 @@
-"""Whatever an owner writes, the next one reads, and decides the same.
+"""Records that an owner writes can be read by the next one.
 
-What users saw of records that do not read back: jobs of which nothing was
-started again (the next owner refused their progress), and instances that
-ended one after the other at a figure that another had kept.
+These tests guard against records that the next owner refuses, so that no task
+of a job is started again, and against out-of-range figures in a record, which
+ended each instance that read it.
 """
 
 import types
@@ -54,15 +54,21 @@
 from tulippin.types import Resources
 
 EPOCH_VERSION = 100
-# Names that a worker may tell, and that no task of the job has.
-NO_TASKS = [(0, 0, 9), (0, -1, 0), (5, 0, 0), (0, 0, -1), (-1, 0, 0)]
+# Keys that a worker may report, but that no task of the job has.
+INVALID_TASK_POSITIONS = [
+    (0, 0, 9),
+    (0, -1, 0),
+    (5, 0, 0),
+    (0, 0, -1),
+    (-1, 0, 0),
+]
 
 
 def read_back(record):
-    """Return a record as its readers get it from a row."""
-    again = decode(encode(record), type(record))
-    assert find_fault(again) == ''
-    return again
+    """Return a record as decoded from its row, and check that it is valid."""
+    decoded = decode(encode(record), type(record))
+    assert find_fault(decoded) == ''
+    return decoded
 
 
 def make_release(account):
@@ -71,7 +77,7 @@
 
 
 def write_account(account, state):
-    """Return the account that a release keeps, as it is read; or nothing."""
+    """Return the release report as read from its row, if one is written."""
     shell = types.SimpleNamespace(state=state)
     writes = trio.run(make_known_writes, make_release(account), shell)
     for write in writes:
@@ -80,20 +86,23 @@
     return None
 
 
-# -- runs that no job can have ------------------------------------------------
+# -- runs with keys that no task has ------------------------------------------
 
 
-@pytest.mark.parametrize('place', NO_TASKS)
-def test_run_of_no_task_leaves_the_job_its_progress(place):
-    """A worker told a run that its job can't have.
+@pytest.mark.parametrize('place', INVALID_TASK_POSITIONS)
+def test_run_of_unknown_task_does_not_invalidate_progress(place):
+    """A reported run that no task of the job has is not recorded.
 
-    The owner took it over and named it among the job's started runs. The
-    next one refused the whole of the job's progress and withheld the job.
+    If the owner adopted it and listed it among the started runs, the next
+    owner would refuse the job's progress and withhold the job.
     """
     state = load([make_job_row(JOB)])
-    odd = RunningTask(TaskKey(JOB, *place), 5, '', 0, None)
-    own = RunningTask(TaskKey(JOB, 0, 0, 1), 6, '', 0, None)
-    effects = [*answer(state, 'w1'), *answer(state, 'w0', [odd, own])]
+    unknown_run = RunningTask(TaskKey(JOB, *place), 5, '', 0, None)
+    known_run = RunningTask(TaskKey(JOB, 0, 0, 1), 6, '', 0, None)
+    effects = [
+        *answer(state, 'w1'),
+        *answer(state, 'w0', [unknown_run, known_run]),
+    ]
     effects.extend(pass_time(state, 500))
     (write,) = list_committed(effects)
     request = state.jobs[JOB].request
@@ -102,7 +111,7 @@
 
 
 @pytest.mark.parametrize('place', [(0, 0, 9), (0, 0, -1)])
-def test_failure_of_no_task_leaves_the_job_its_progress(place):
+def test_failure_of_unknown_task_does_not_invalidate_progress(place):
     state = load([make_job_row(JOB)])
     answer(state, 'w1')
     answer(state, 'w0')
@@ -132,8 +141,8 @@
         TaskKey('z', 0, 0, 10**10),
     ],
 )
-def test_run_that_no_job_can_have_leaves_the_account_readable(key):
-    """A worker told such a run, and the next owner refused the account."""
+def test_run_of_unknown_task_does_not_invalidate_release_report(key):
+    """A report that named such a run would be refused by the next owner."""
     state = load([make_job_row(JOB), make_job_row(OTHER)])
     runs = [
         RunningTask(one, 5, '', 0, None) for one in (key, TaskKey(JOB, 0, 0, 1))
@@ -146,7 +155,7 @@
     assert account.workers['w0'].tasks == (f'{JOB}.0.0.1',)
 
 
-def test_account_that_nobody_would_read_is_told_and_not_written():
+def test_invalid_release_report_is_logged_and_not_written():
     state = load()
     account = AccountRecord(5, {'w0': WorkerAccount(10**9, ())})
     with logbook.TestHandler() as handler:
@@ -157,23 +166,24 @@
     ]
 
 
-# -- tasks that another unit passed on -----------------------------------------
+# -- transferred tasks ---------------------------------------------------------
 
 
-def make_guest_row():
+def make_transfer_row():
     step = Step(2, Resources(1000, 1000), long_running=True)
     request = JobRequest('', (step,))
     record = GuestRecord(QUEUE, request, {'0.0.1': 1}, {'0.0.1': 65_536})
     return make_row(f'{JOB}/guest', record)
 
 
-def test_guest_task_that_is_done_ends_no_owner():
-    """A worker tells that a long-running task of a guest has ended, done.
+def test_done_task_of_transferred_job_is_restored():
+    """A long-running task of a transferred job may end as done.
 
-    The unit had not counted the job's tasks, as it is not their home, and its
-    owner ended with a KeyError. So did the next one, at the durable progress.
+    If a unit does not count the tasks of jobs with another home unit, its
+    owner ends with a KeyError, and so does the next one when it reads the
+    durable progress.
     """
-    state = load([make_guest_row()])
+    state = load([make_transfer_row()])
     answer(state, 'w1')
     key = TaskKey(JOB, 0, 0, 1)
     ended = EndedRun(1, key, 70_000, RunOutcome.DONE, '')
@@ -182,29 +192,30 @@
     record = read_back(write.record)
     assert record.done == {'0.0': '2'}
     row = make_row(JOB, record, 20, 'progress0')
-    successor = load([make_guest_row()], [row])
+    successor = load([make_transfer_row()], [row])
     assert successor.jobs[JOB].tasks[key].is_done
     assert list_started(settle(successor)) == []
 
 
-# -- figures that are none ----------------------------------------------------
+# -- figures out of range -----------------------------------------------------
 
-WITHOUT_END = 10**400
-ODD_STEPS = [
-    {'size': Resources(WITHOUT_END, 0)},
-    {'size': Resources(0, WITHOUT_END)},
-    {'size': Resources(0, 0, WITHOUT_END)},
+OUT_OF_RANGE = 10**400
+INVALID_STEP_FIELDS = [
+    {'size': Resources(OUT_OF_RANGE, 0)},
+    {'size': Resources(0, OUT_OF_RANGE)},
+    {'size': Resources(0, 0, OUT_OF_RANGE)},
     {'estimated_ms': int(1e308)},
-    {'estimated_ms': WITHOUT_END},
-    {'target_ms': WITHOUT_END},
+    {'estimated_ms': OUT_OF_RANGE},
+    {'target_ms': OUT_OF_RANGE},
 ]
 
 
-@pytest.mark.parametrize('fields', ODD_STEPS)
-def test_figure_without_end_costs_its_job_alone(fields):
-    """A caller's guess of 1e308 ms ended each owner of the job's unit.
+@pytest.mark.parametrize('fields', INVALID_STEP_FIELDS)
+def test_job_with_step_figure_out_of_range_is_refused(fields):
+    """A job with a figure out of range is refused, and other jobs run.
 
-    Its row is read again by the next owner, which divides by it as well.
+    With an estimate of 1e308 ms, each owner of the unit would end at a
+    division after reading the job's row.
     """
     step = attrs.evolve(Step(2, Resources(1000, 1000)), **fields)
     record = JobRecord(QUEUE, JobRequest('', (step,)))
@@ -214,8 +225,8 @@
     assert 'more than there can be' in find_fault(record)
 
 
-def test_guess_below_all_figures_costs_its_job_alone():
-    step = Step(2, Resources(1000, 1000), estimated_ms=-WITHOUT_END)
+def test_job_with_negative_estimate_out_of_range_is_refused():
+    step = Step(2, Resources(1000, 1000), estimated_ms=-OUT_OF_RANGE)
     record = JobRecord(QUEUE, JobRequest('', (step,)))
     state = load([make_row(JOB, record), make_job_row(OTHER)])
     settle(state)
@@ -224,9 +235,9 @@
 
 
 @pytest.mark.parametrize('place', range(3))
-def test_schedule_without_end_costs_its_job_alone(place):
+def test_job_with_schedule_out_of_range_is_refused(place):
     figures = [0, 1000, 2]
-    figures[place] = WITHOUT_END
+    figures[place] = OUT_OF_RANGE
     step = Step(1, Resources(1000, 1000))
     request = JobRequest('', (step,), Schedule(*figures))
     state = load([make_row(JOB, JobRecord(QUEUE, request))])
@@ -234,30 +245,30 @@
     assert list(state.jobs) == []
 
 
-ODD_ROOMS = [
+INVALID_CAPACITY_FIELDS = [
     {'capacity_millicores': -1},
-    {'capacity_millicores': WITHOUT_END},
+    {'capacity_millicores': OUT_OF_RANGE},
     {'reserved_millicores': -1},
-    {'reserved_millicores': WITHOUT_END},
+    {'reserved_millicores': OUT_OF_RANGE},
     {'idle_millicores': -1},
-    {'idle_millicores': WITHOUT_END},
+    {'idle_millicores': OUT_OF_RANGE},
     {'places': (-1,)},
-    {'places': (WITHOUT_END,)},
+    {'places': (OUT_OF_RANGE,)},
     {'places': (1,) * 13},
     {'waiting_millicores': {'batch': -1}},
-    {'waiting_millicores': {'batch': WITHOUT_END}},
-    {'largest_free': Resources(WITHOUT_END, 0)},
-    {'largest_new_millicores': -WITHOUT_END},
+    {'waiting_millicores': {'batch': OUT_OF_RANGE}},
+    {'largest_free': Resources(OUT_OF_RANGE, 0)},
+    {'largest_new_millicores': -OUT_OF_RANGE},
 ]
 
 
-@pytest.mark.parametrize('fields', ODD_ROOMS)
-def test_room_that_is_none_is_refused(fields):
+@pytest.mark.parametrize('fields', INVALID_CAPACITY_FIELDS)
+def test_lease_with_invalid_capacity_is_refused(fields):
     lease = LeaseRecord('i:1', 'i', room=UnitRoom(**fields))
     assert find_fault(decode(encode(lease), LeaseRecord))
 
 
-def test_room_with_more_reserved_than_there_is_reads_back():
+def test_lease_with_more_reserved_than_capacity_is_valid():
     room = UnitRoom(
         16_000,
         20_000,
--- a/tests/tulippin/jobs/test_scheduler_lists.py
+++ b/tests/tulippin/jobs/test_scheduler_lists.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers loses entries while its store is away."""
+"""Entries missing from the list of workers after an outage of the store."""
 
 import trio
 
@@ -8,8 +8,8 @@
 LIMIT_MS = 3000
 JOB = f'{1:016x}'
 OTHER = f'{2:016x}'
-# Entries of workers that live are back so long after the store is.
-BACK_S = 1.8
+# Time after which live workers have written their entries again.
+ENTRY_RETURN_S = 1.8
 
 
 async def submit(fleet, job_id, request):
@@ -24,7 +24,7 @@
     )
 
 
-def test_entry_that_comes_back_costs_no_run(run_virtual):
+def test_entry_that_returns_ends_no_run(run_virtual):
     async def run():
         async with open_fleet(workers=1) as fleet:
             request = make_request(make_step(3), run_ms=6000)
@@ -32,7 +32,7 @@
             await fleet.wait_running(3)
             worker = fleet.platform.workers['w0']
             fleet.platform.remove('w0')
-            await trio.sleep(BACK_S)
+            await trio.sleep(ENTRY_RETURN_S)
             fleet.platform.beat(worker)
             await submit(fleet, OTHER, make_request())
             await fleet.wait_done(OTHER)
@@ -43,7 +43,7 @@
     run_virtual(run)
 
 
-def test_entry_that_stays_away_is_a_worker_that_is_gone(run_virtual):
+def test_worker_without_entry_is_replaced(run_virtual):
     async def run():
         async with open_fleet(workers=2) as fleet:
             step = make_step(2, 10_000, long_running=True)
@@ -62,10 +62,8 @@
     run_virtual(run)
 
 
-def test_nothing_new_is_started_on_a_worker_off_the_list(
-    run_virtual, monkeypatch
-):
-    # It lives and would take work, but writes no entry.
+def test_no_run_is_started_on_unlisted_worker(run_virtual, monkeypatch):
+    # The worker is alive and would accept tasks, but writes no entry.
     monkeypatch.setattr(StandinPlatform, '_beat_all', lambda platform: None)
 
     async def run():
--- a/tests/tulippin/jobs/test_scheduler_logs.py
+++ b/tests/tulippin/jobs/test_scheduler_logs.py
@@ -1,4 +1,4 @@
-"""The log leads from a job's id to its cause: each decision has a line."""
+"""Every decision on a job is logged, so that its history can be traced."""
 
 import contextlib
 
@@ -16,24 +16,24 @@
 
 JOB = '00000000000000aa'
 LIMIT_MS = 3000
-# Configuration, lease, and the owned unit's jobs.
+# Feeds of the configuration, of leases, and of the owned unit's jobs.
 WAITING_FEEDS = 3
-WAY_OF_A_JOB = {
+JOB_MESSAGES = {
     'job accepted': {'job', 'queue', 'is_new', 'version', 'took_ms'},
     'job taken up': {'job', 'queue', 'steps', 'version'},
     'start run': {'task', 'run', 'worker', 'waited_ms', 'list_age_ms'},
     'run ended': {'task', 'run', 'worker', 'outcome', 'number'},
     'job finished': {'job', 'state', 'age_ms'},
 }
-WAY_OF_A_LOST_ATTEMPT = {
+LOST_RUN_MESSAGES = {
     'worker silent': {'worker', 'reason'},
     'run over': {'task', 'run', 'worker', 'why', 'age_ms'},
 }
-WAY_OF_A_CANCEL = {
+CANCEL_MESSAGES = {
     'cancel accepted': {'job', 'queue', 'version', 'took_ms'},
     'stop run': {'task', 'run', 'worker', 'why'},
 }
-WAY_OF_THE_UNIT = {
+UNIT_MESSAGES = {
     'take unit': {'why', 'silent_ms', 'epoch'},
     'unit taken': {'epoch', 'version'},
     'unit loaded': {'epoch', 'jobs', 'workers', 'rostered'},
@@ -42,14 +42,14 @@
 
 
 @contextlib.contextmanager
-def capture():
+def capture_log():
     handler = logbook.TestHandler()
     with handler.applicationbound():
         yield handler
 
 
 def find_missing(handler, wanted):
-    """Return which lines, or fields of lines, the log lacks."""
+    """Return the wanted fields that the log lacks, by message."""
     seen = {}
     for record in handler.records:
         seen.setdefault(record.message, set(record.kwargs))
@@ -66,19 +66,19 @@
     await intake.submit(JOB, QUEUE, request, LIMIT_MS)
 
 
-@pytest.mark.parametrize('wanted', [WAY_OF_A_JOB, WAY_OF_THE_UNIT])
-def test_completed_job_is_told_whole(run_virtual, wanted):
+@pytest.mark.parametrize('wanted', [JOB_MESSAGES, UNIT_MESSAGES])
+def test_completed_job_is_logged_completely(run_virtual, wanted):
     async def run():
         async with open_fleet() as fleet:
             await submit(fleet, 300)
             await fleet.wait_done(JOB)
 
-    with capture() as handler:
+    with capture_log() as handler:
         run_virtual(run)
     assert find_missing(handler, wanted) == {}
 
 
-def test_lost_attempt_is_told(run_virtual):
+def test_lost_run_is_logged(run_virtual):
     async def run():
         async with open_fleet() as fleet:
             await submit(fleet, 9000)
@@ -87,12 +87,12 @@
                 worker.cut_off.add('*')
             await trio.sleep(8)
 
-    with capture() as handler:
+    with capture_log() as handler:
         run_virtual(run)
-    assert find_missing(handler, WAY_OF_A_LOST_ATTEMPT) == {}
+    assert find_missing(handler, LOST_RUN_MESSAGES) == {}
 
 
-def test_cancel_is_told_to_the_stop(run_virtual):
+def test_cancel_is_logged_up_to_the_stop(run_virtual):
     async def run():
         async with open_fleet() as fleet:
             await submit(fleet, 60_000)
@@ -101,12 +101,12 @@
             await intake.cancel(JOB, QUEUE, LIMIT_MS)
             await trio.sleep(1)
 
-    with capture() as handler:
+    with capture_log() as handler:
         run_virtual(run)
-    assert find_missing(handler, WAY_OF_A_CANCEL) == {}
+    assert find_missing(handler, CANCEL_MESSAGES) == {}
 
 
-def test_lost_store_and_its_return_are_told_not_each_call(run_virtual):
+def test_loss_and_return_of_store_are_logged_not_each_call(run_virtual):
     async def run():
         async with open_fleet(instances=1) as fleet:
             fleet.platform.store.trouble.refused.add('*')
@@ -114,62 +114,62 @@
             fleet.platform.store.trouble.refused.clear()
             await trio.sleep(1)
 
-    with capture() as handler:
+    with capture_log() as handler:
         run_virtual(run)
-    told = [record.message for record in handler.records]
-    lost = told.index('store lost')
-    # Some 100 calls fail; a feed that waited as the trouble began may still
-    # answer, and its next call is lost anew.
-    assert told.count('store lost') <= 1 + WAITING_FEEDS
-    assert 'store answers' in told[lost:]
+    logged = [record.message for record in handler.records]
+    lost = logged.index('store lost')
+    # Some 100 calls fail. A feed's call that was waiting when the outage began
+    # may still succeed, and the next one is logged as a new loss.
+    assert logged.count('store lost') <= 1 + WAITING_FEEDS
+    assert 'store answers' in logged[lost:]
 
 
-def test_tasks_without_room_are_told_with_the_reason(run_virtual):
+def test_tasks_that_do_not_fit_are_logged_with_reason(run_virtual):
     async def run():
         async with open_fleet(instances=1, workers=2) as fleet:
-            # Workers hold 16 cores: the third task waits.
+            # Each worker has 16 cores, so the third task waits.
             step = make_step(3, 12_000)
             intake = fleet.instances['i0'].intake
             request = make_request(step, run_ms=9000)
             await intake.submit(JOB, QUEUE, request, LIMIT_MS)
             await trio.sleep(3)
 
-    with capture() as handler:
+    with capture_log() as handler:
         run_virtual(run)
-    told = [
+    logged = [
         record.kwargs
         for record in handler.records
         if record.message == 'tasks wait for room'
     ]
-    assert 1 <= len(told) <= 3
-    assert told[-1]['tasks'] == 1
-    assert told[-1]['queue'] == QUEUE.name
-    assert told[-1]['refused'] == {'processors': 2}
-    assert told[-1]['waited_ms'] > 1000
+    assert 1 <= len(logged) <= 3
+    assert logged[-1]['tasks'] == 1
+    assert logged[-1]['queue'] == QUEUE.name
+    assert logged[-1]['refused'] == {'processors': 2}
+    assert logged[-1]['waited_ms'] > 1000
 
 
-def test_division_of_processors_is_told_while_tasks_wait(run_virtual):
+def test_division_of_processors_is_logged_while_tasks_wait(run_virtual):
     async def run():
         async with open_fleet(instances=1, workers=2) as fleet:
             intake = fleet.instances['i0'].intake
             lasting = make_lasting(2, 12_000)
             await intake.submit(f'{1:016x}', QUEUE, lasting, LIMIT_MS)
             await fleet.wait_running(2)
-            # One of two tasks finds no room beside what lasts.
+            # One of the three tasks does not fit beside the long-running ones.
             urgent = make_request(
                 make_step(3, 3000, estimated_ms=9000), run_ms=9000
             )
             await intake.submit(JOB, QUEUE, urgent, LIMIT_MS)
             await trio.sleep(3)
 
-    with capture() as handler:
+    with capture_log() as handler:
         run_virtual(run)
-    told = find_last(handler, 'processors divided')
-    assert told['long_running_millicores'] == 24_000
-    assert told['short_millicores'] == 6000
-    assert told['free_millicores'] == 2000
-    assert told['place_millicores'] == 3000
-    assert told['found_places'] == 2
+    logged = find_last(handler, 'processors divided')
+    assert logged['long_running_millicores'] == 24_000
+    assert logged['short_millicores'] == 6000
+    assert logged['free_millicores'] == 2000
+    assert logged['place_millicores'] == 3000
+    assert logged['found_places'] == 2
     waiting = find_last(handler, 'tasks wait for room')
     assert waiting['waiting_millicores'] == 3000
     assert waiting['by_lateness'] == {'in_time': 1}
@@ -177,7 +177,7 @@
 
 
 def find_last(handler, message):
-    """Return the fields of the last line of a kind."""
+    """Return the fields of the last log line with a message."""
     return [
         record.kwargs for record in handler.records if record.message == message
     ][-1]
--- a/tests/tulippin/jobs/test_standby.py
+++ b/tests/tulippin/jobs/test_standby.py
@@ -1,4 +1,4 @@
-"""What an instance spends on units that others own."""
+"""Cost of the units that an instance stands by for."""
 
 import collections
 
@@ -14,7 +14,7 @@
 
 
 def count_steps(monkeypatch):
-    """Count the events of each instance's units that it does not have."""
+    """Count by instance the events of units that it does not own."""
     counts = collections.Counter()
     original = UnitShell.step
 
@@ -27,8 +27,11 @@
     return counts
 
 
-def test_units_that_others_own_cost_no_ticks(run_virtual, monkeypatch):
-    """With a tick each 0.2 s there were 70 events a second, now some 20."""
+def test_units_of_other_owners_get_no_ticks(run_virtual, monkeypatch):
+    """A tick every 0.2 s for each unit would make 70 events a second, not 20.
+
+    Only the changes of lease rows may cause events.
+    """
     counts = count_steps(monkeypatch)
 
     async def run():
@@ -37,14 +40,14 @@
             counts.clear()
             await trio.sleep(WATCHED_S)
             assert idle
-            # Each lease row is seen once or twice a second.
+            # Each lease row is read once or twice a second.
             for name in idle:
                 assert counts[name] <= 2.5 * UNITS * WATCHED_S
 
     run_virtual(run)
 
 
-def test_unit_is_taken_as_soon_as_with_ticks(run_virtual):
+def test_lost_unit_is_taken_in_time(run_virtual):
     async def run():
         async with open_units(6) as fleet:
             lost = get_owners(fleet)[0]
@@ -56,7 +59,7 @@
     run_virtual(run)
 
 
-def test_configuration_is_told_once_by_each_instance(run_virtual):
+def test_configuration_is_logged_once_by_each_instance(run_virtual):
     handler = logbook.TestHandler()
 
     async def run():
@@ -67,9 +70,9 @@
 
     with handler.applicationbound():
         run_virtual(run)
-    told = [
+    lines = [
         record
         for record in handler.records
         if record.message == 'configuration in force'
     ]
-    assert len(told) == 6
+    assert len(lines) == 6
--- a/tests/tulippin/jobs/test_unit_failures.py
+++ b/tests/tulippin/jobs/test_unit_failures.py
@@ -1,21 +1,13 @@
-"""An error in the decisions of one unit, and who goes on.
+"""Containment of unexpected errors in one unit.
 
-What users saw: one figure in a record that only advises ended every instance
-that owned a unit, one after the other, and after each start again. Nobody
-started the long-running tasks whose runs had lapsed meanwhile; callers of
-units that the figure did not concern waited as well.
+An owner persists an advisory record, and the owners of other units read it. If
+a figure in it makes a decision raise an error that ends the process, each
+instance that owns a unit ends, again after every restart. Long-running tasks
+are then not restarted, and callers of unrelated units wait too.
 
-In which order: an owner kept a record; the owners of the other units heard
-of it; the error of the first decision by it went through the loop of all
-units, and ended the process.
-
-Cause: nothing stood between an error of one unit's decisions, effects or
-feeds and the end of the process, and no input was told from any other: one
-that only advises cost as much as an epoch that can't be kept.
-
-Evidence: an error planted in each of eight places ended the instance with all
-its units before; with what contains it now no instance ends, the other unit
-keeps its owner, and no job is lost.
+The tests inject an error in each of eight places in decisions, effects and
+feeds. No instance may end, the other unit must keep its owner, and no job may
+be lost. Advisory inputs that raise an error must be excluded.
 """
 
 import collections
@@ -64,14 +56,14 @@
 FILLER = '0000000000000002'
 LATER = '0000000000000003'
 INSTANCES = ('i0', 'i1', 'i2')
-# Above what one unit holds, so that there are two.
+# More workers than one unit takes, so that there are two units.
 WORKERS = 60
 TARGET_MS = 50
 UNITS = {0, 1}
 
 
 class PlantedError(Exception):
-    """Nothing of the product raises it, or knows it."""
+    """An injected error that no product code raises or handles."""
 
 
 def make_filler():
@@ -85,8 +77,8 @@
     return make_request(step, run_ms=2000)
 
 
-def plant(monkeypatch, owner, name, times=None, when=None):
-    """Have a function raise, so many times or for good."""
+def inject_error(monkeypatch, owner, name, times=None, when=None):
+    """Make a function raise an error, ``times`` times or always."""
     real = getattr(owner, name)
     count = 0
 
@@ -106,7 +98,7 @@
 
 
 def write_model(fleet, record):
-    """Keep a model for both units, as another writer would."""
+    """Write a model row for both units, like an owner."""
     for number in UNITS:
         write = RowWrite(MODELS_TABLE, MODEL_KEY, encode(record))
         fleet.platform.store.apply(Transaction(f'u{number}', (), (write,)))
@@ -127,39 +119,43 @@
             await trio.sleep(0.05)
 
 
-async def begin(fleet):
+async def start_serving(fleet):
     await wait_units(fleet)
     await fleet.submit(SERVING, make_serving(WORKERS, TARGET_MS))
     await fleet.wait_running(WORKERS)
 
 
-PLANTED = {
-    'a model that is heard of': lambda patch: plant(patch, PairModel, 'hear'),
-    'the model that was kept': lambda patch: plant(patch, _memory, 'restore'),
-    'a report that is learned from': lambda patch: plant(
+INJECTIONS = {
+    'model of another owner': lambda patch: inject_error(
+        patch, PairModel, 'hear'
+    ),
+    'persisted model': lambda patch: inject_error(patch, _memory, 'restore'),
+    'learning from a report': lambda patch: inject_error(
         patch, _interference, 'learn'
     ),
-    'a place': lambda patch: plant(patch, _placing, 'place', 3),
-    'a pace': lambda patch: plant(patch, _pacing, 'adjust', 2),
-    'a commit': lambda patch: plant(patch, _committing, 'commit_if_due', 2),
-    'an effect': lambda patch: plant(patch, StandinAgents, 'hold', 2),
-    'a feed': lambda patch: plant(
+    'placing': lambda patch: inject_error(patch, _placing, 'place', 3),
+    'pacing': lambda patch: inject_error(patch, _pacing, 'adjust', 2),
+    'commit': lambda patch: inject_error(
+        patch, _committing, 'commit_if_due', 2
+    ),
+    'effect': lambda patch: inject_error(patch, StandinAgents, 'hold', 2),
+    'feed': lambda patch: inject_error(
         patch, _unit_feeds.UnitFeeds, '_post_workers', 2
     ),
 }
 
 
-@pytest.mark.parametrize('place', PLANTED)
-def test_error_in_a_unit_ends_no_instance_and_loses_no_job(
+@pytest.mark.parametrize('place', INJECTIONS)
+def test_error_in_unit_ends_no_instance_and_loses_no_job(
     run_virtual, monkeypatch, told_failures, place
 ):
     monkeypatch.setattr(StandinWorker, '_get_load', get_load)
 
     async def run():
         async with open_fleet(len(INSTANCES), WORKERS, 10) as fleet:
-            await begin(fleet)
+            await start_serving(fleet)
             write_model(fleet, {'run_times_ms': {'q': 100.0}})
-            PLANTED[place](monkeypatch)
+            INJECTIONS[place](monkeypatch)
             owner = fleet.get_owner()
             fleet.kill(owner)
             await fleet.start(owner)
@@ -171,7 +167,7 @@
                 job_id = f'{FILLER[:-1]}{number + 4}'
                 await fleet.wait_done(job_id, limit_s=60)
             await wait_units(fleet)
-            # What served goes on, and nothing ran beside itself.
+            # Long-running tasks go on, and no task ran twice at a time.
             assert fleet.count_starts(SERVING) == WORKERS
             assert set(fleet.instances) == set(INSTANCES)
             fleet.check()
@@ -183,9 +179,9 @@
         (cause,) = failures.find_causes(one.error)
         assert isinstance(cause, PlantedError)
         assert one.fields['unit'] in UNITS
-    told = [one for one in handler.records if 'cause' in one.kwargs]
-    assert len(told) == len(told_failures)
-    assert all('PlantedError' in one.kwargs['cause'] for one in told)
+    reports = [one for one in handler.records if 'cause' in one.kwargs]
+    assert len(reports) == len(told_failures)
+    assert all('PlantedError' in one.kwargs['cause'] for one in reports)
     told_failures.clear()
 
 
@@ -193,12 +189,14 @@
     return 14.0 if plan.lasts else 2000.0
 
 
-def test_figure_in_a_record_that_advises_ends_nobody(run_virtual, monkeypatch):
+def test_invalid_figure_in_advisory_record_ends_no_instance(
+    run_virtual, monkeypatch
+):
     monkeypatch.setattr(StandinWorker, '_get_load', get_load)
 
     async def run():
         async with open_fleet(len(INSTANCES), WORKERS, 10) as fleet:
-            await begin(fleet)
+            await start_serving(fleet)
             write_model(fleet, {'lowest_tails_ms': {'web': 0.0}})
             await fleet.submit(FILLER, make_filler())
             await trio.sleep(8)
@@ -210,15 +208,15 @@
     run_virtual(run)
 
 
-def test_unit_that_fails_for_good_costs_the_others_nothing(
+def test_unit_that_always_fails_does_not_affect_others(
     run_virtual, monkeypatch, told_failures
 ):
-    """One unit stands still; its instances, callers and neighbours do not."""
+    """Only the failing unit stands still, not its instances or callers."""
 
     async def run():
         async with open_fleet(len(INSTANCES), WORKERS, 10) as fleet:
-            await begin(fleet)
-            plant(monkeypatch, _placing, 'place', when=is_second_unit)
+            await start_serving(fleet)
+            inject_error(monkeypatch, _placing, 'place', when=is_second_unit)
             epoch = get_epoch(fleet)
             done = 0
             for number in range(12):
@@ -233,7 +231,7 @@
             fleet.check()
 
     run_virtual(run)
-    # Each instance waits longer after each failure.
+    # The backoff of each instance grows with each failure.
     counts = collections.Counter(one.what for one in told_failures)
     assert set(counts) == {'unit failed'}
     assert counts['unit failed'] <= 24
@@ -251,12 +249,12 @@
 
 
 @pytest.mark.parametrize('name', ['_make_job', 'restore'])
-def test_job_whose_rows_raise_costs_no_other_job(
+def test_job_with_failing_row_does_not_affect_others(
     run_virtual, monkeypatch, told_failures, name
 ):
-    """It is withheld, as one whose rows can't be read; the others go on."""
+    """The job is withheld like one with unreadable rows; others go on."""
 
-    def is_odd(first, *_):
+    def is_failing_job(first, *_):
         return FILLER in {
             getattr(first, 'key', ''),
             getattr(first, 'job_id', ''),
@@ -268,7 +266,7 @@
             await fleet.submit(LATER, make_request(run_ms=20_000))
             await fleet.wait_running(2)
             await fleet.wait_state(FILLER, JobState.RUNNING)
-            plant(monkeypatch, _lifecycle, name, when=is_odd)
+            inject_error(monkeypatch, _lifecycle, name, when=is_failing_job)
             fleet.kill_owner()
             await fleet.wait_owner()
             await fleet.wait_done(LATER, limit_s=40)
@@ -287,8 +285,8 @@
     return await intake.get_state(job_id)
 
 
-def test_only_the_row_that_raises_is_left_out(monkeypatch, told_failures):
-    """What other owners tell is heard, and the odd row is told of once."""
+def test_only_failing_row_is_excluded(monkeypatch, told_failures):
+    """Other models are used, and the failing row is reported once."""
     state = make_state(SchedulerConfig('i', 'i:1'))
     real = PairModel.hear
 
@@ -299,42 +297,42 @@
         real(model, found)
 
     monkeypatch.setattr(PairModel, 'hear', hear)
-    sound = ModelRecord({'web': PairRecord({'batch': 0.2}, [[0.001]])})
-    odd = ModelRecord({'odd': PairRecord()})
-    event = ModelsSeen(1000, (odd, sound), ('models/u1', 'models/u2'))
+    valid = ModelRecord({'web': PairRecord({'batch': 0.2}, [[0.001]])})
+    failing = ModelRecord({'odd': PairRecord()})
+    event = ModelsSeen(1000, (failing, valid), ('models/u1', 'models/u2'))
     effects = [reduce(state, event) for _ in range(3)]
-    told = [
+    reports = [
         effect
         for found in effects
         for effect in found
         if isinstance(effect, TellFailure)
     ]
-    assert [effect.sources for effect in told] == [('models/u1',)]
+    assert [effect.sources for effect in reports] == [('models/u1',)]
     assert state.model.get_weight('web', 'batch') > 0.1
     assert state.counters['advice_dropped'] == 1
 
 
-def test_errors_that_come_again_are_told_ever_more_rarely(monkeypatch):
-    """Nothing is learned for a while after an error, and longer each time."""
+def test_repeated_errors_are_reported_less_often(monkeypatch):
+    """Advisory inputs are ignored after an error, longer each time."""
     state = make_state(SchedulerConfig('i', 'i:1'))
     state.ownership.phase = Phase.ACTIVE
-    plant(monkeypatch, _advising, 'handle')
-    told = 0
+    inject_error(monkeypatch, _advising, 'handle')
+    reports = 0
     for second in range(600):
         effects = reduce(state, RoomsSeen(1000 * (1 + second), {}))
-        told += sum(isinstance(one, TellFailure) for one in effects)
-    assert 3 <= told <= 8
+        reports += sum(isinstance(one, TellFailure) for one in effects)
+    assert 3 <= reports <= 8
 
 
-def test_row_that_advises_is_set_aside_by_its_version(
+def test_advisory_row_is_excluded_by_version(
     run_virtual, monkeypatch, told_failures
 ):
-    """The unit begins anew without that row, and hears of the next one."""
+    """The unit restarts without that row version, and reads the next one."""
 
     async def run():
         async with open_fleet(len(INSTANCES), WORKERS, 10) as fleet:
             await wait_units(fleet)
-            plant(monkeypatch, _memory, 'restore', 1)
+            inject_error(monkeypatch, _memory, 'restore', 1)
             write_model(fleet, {'run_times_ms': {'q': 100.0}})
             for name in INSTANCES:
                 fleet.kill(name)
--- a/tests/tulippin/jobs/test_unit_failures_review.py
+++ b/tests/tulippin/jobs/test_unit_failures_review.py
@@ -1,18 +1,16 @@
-"""What the end of a unit's life leaves behind, and how its next ones begin.
-
-What users would have seen: an instance that spends all its time on one unit
-whose every event fails, and writes thousands of lines a second; orders of a
-life of a unit that is over; a unit without an owner for half a minute at the
-end of its last other owner, as it had failed here some hours before.
-
-In which order: a unit fails at an event; its next life is told the
-configuration and the lease at once, and fails at them again. Or: one event
-begins a task, and the next one of the same slice of the loop fails, before
-that task has run for the first time.
-
-Cause: only the taking of a unit waited after a failure, and not its next life;
-only tasks that had begun by then were ended; and a wait that was meant to last
-from the failure on was counted from each later lapse of a lease.
+"""Restart of a unit's shell after an unexpected error, and its cleanup.
+
+The tests guard against three failures:
+
+- A unit that fails at every event uses up the instance's processor and logs
+  thousands of lines a second. The new shell gets the configuration and the
+  lease at once and fails at them again, unless its start is delayed.
+- A task of a failed shell goes on and sends orders. One event starts the task,
+  and the next event of the same slice of the loop fails before the task has
+  run for the first time, so that it is not cancelled with the others.
+- A unit has no owner for half a minute after its owner is lost, because the
+  remaining instance had failed there hours before. The backoff has to count
+  from the failure, not from each later expiry of a lease.
 """
 
 import attrs
@@ -36,27 +34,27 @@
 from tulippin.jobs.types import JobState
 
 LATER = '0000000000000003'
-# A unit that fails at all that it is told: one line at its first failure,
-# and less than one a second from then on.
-MOST_FAILURES = 8
+# A unit that fails at every event logs one line at its first failure, and less
+# than one a second after that.
+MAX_FAILURES = 8
 WATCHED_S = 10
-# More than any number that a test allows.
-LIMIT = 300
-OFTEN = 6
-# Four of the instance's own, the feeds, and a few effects.
-MOST_TASKS = 20
-# A lease of 2 s, and what its takers leave to each other.
+# More failures than any test allows.
+MAX_INJECTED_ERRORS = 300
+EARLY_FAILURES = 6
+# Four tasks of the instance, those of the feeds, and a few effects.
+MAX_TASKS = 20
+# A lease of 2 s, and the jitter of takeovers.
 TAKEN_WITHIN_S = 5
 
 
 class PlantedError(Exception):
-    """Nothing of the product raises it, or knows it."""
+    """An injected error that no product code raises or handles."""
 
 
-def plant_at(monkeypatch, event_type, number=1, when=None):
-    """Have a unit's reducer fail at each event of a type, for some time.
+def inject_errors(monkeypatch, event_type, number=1, when=None):
+    """Make a unit's reducer fail at each event of a type, up to a limit.
 
-    Not for good: an instance that did nothing else would stop the virtual
+    Without a limit, an instance that does nothing else would stop the virtual
     clock, and the test with it.
     """
     real = core.reduce
@@ -64,12 +62,12 @@
 
     def fail(state, event):
         nonlocal count
-        is_planted = (
+        is_due = (
             state.config.unit.number == number
             and isinstance(event, event_type)
-            and count < LIMIT
+            and count < MAX_INJECTED_ERRORS
         )
-        if is_planted and (when is None or when(state, count)):
+        if is_due and (when is None or when(state, count)):
             count += 1
             raise PlantedError(event_type.__name__)
         return real(state, event)
@@ -80,10 +78,10 @@
 @pytest.mark.parametrize(
     'event_type', [ConfigurationChanged, LeaseSeen, Ticked]
 )
-def test_unit_that_fails_at_its_beginning_does_not_spin(
+def test_unit_that_fails_at_start_does_not_spin(
     run_virtual, monkeypatch, told_failures, event_type
 ):
-    """The other unit's jobs are done, and the log stays readable."""
+    """The other unit keeps its owner, and few failures are logged."""
 
     async def run():
         async with open_fleet(1, 60, 10) as fleet:
@@ -94,7 +92,7 @@
                     and all(unit.is_owner for unit in shell.units.values())
                 ):
                     await trio.sleep(0.05)
-            plant_at(monkeypatch, event_type)
+            inject_errors(monkeypatch, event_type)
             told_failures.clear()
             shell.units[1].post(
                 ConfigurationChanged(shell.clock(), shell.configuration)
@@ -102,7 +100,7 @@
             shell.units[1].see_rows(())
             for _ in range(100 * WATCHED_S):
                 await trio.sleep(0.01)
-                assert len(told_failures) <= MOST_FAILURES
+                assert len(told_failures) <= MAX_FAILURES
             assert shell.units[0].is_owner
             fleet.check()
 
@@ -111,15 +109,15 @@
     told_failures.clear()
 
 
-def test_planned_stop_ends_beside_a_unit_that_fails(
+def test_planned_stop_ends_if_unit_fails(
     run_virtual, monkeypatch, told_failures
 ):
-    """Whatever fails in one unit, the stop does not wait for it for good."""
+    """A planned stop does not wait forever for a unit that fails."""
 
     async def run():
         async with open_fleet(1, 2) as fleet:
             await fleet.wait_owner()
-            plant_at(monkeypatch, StopRequested, number=0)
+            inject_errors(monkeypatch, StopRequested, number=0)
             with trio.fail_after(5):
                 await fleet.instances['i0'].shell.leave()
             fleet.kill('i0')
@@ -128,10 +126,10 @@
     told_failures.clear()
 
 
-def test_task_that_has_not_begun_ends_with_its_unit(
+def test_task_that_has_not_run_ends_with_its_unit(
     run_virtual, monkeypatch, told_failures
 ):
-    """An event begins a task; the next one fails before that task runs."""
+    """The unit fails after a task was started and before it ran."""
     ran = []
 
     async def note(name):
@@ -142,8 +140,10 @@
             await fleet.wait_owner()
             shell = fleet.instances['i0'].shell
             unit = shell.units[0]
-            unit.start(note, 'of the life that is over')
-            plant_at(monkeypatch, LeaseSeen, 0, when=lambda _, count: not count)
+            unit.start(note, 'task of the failed shell')
+            inject_errors(
+                monkeypatch, LeaseSeen, 0, when=lambda _, count: not count
+            )
             unit.step(LeaseSeen(shell.clock(), None, 0, None, 0))
             await trio.sleep(1)
             assert unit.is_over
@@ -153,10 +153,10 @@
     told_failures.clear()
 
 
-def test_unit_that_failed_often_is_taken_in_time_later(
+def test_unit_that_failed_often_is_taken_in_time_later_on(
     run_virtual, monkeypatch, told_failures
 ):
-    """It went on elsewhere, and its owner there ends much later."""
+    """Another instance owned the unit since, and is lost much later."""
 
     async def run():
         async with open_fleet(2, 2) as fleet:
@@ -164,13 +164,15 @@
             other = fleet.get_other(first)
 
             def is_early_here(state, count):
-                return state.config.instance_id == first and count < OFTEN
+                return (
+                    state.config.instance_id == first and count < EARLY_FAILURES
+                )
 
-            plant_at(monkeypatch, LeaseSeen, number=0, when=is_early_here)
+            inject_errors(monkeypatch, LeaseSeen, number=0, when=is_early_here)
             with trio.fail_after(60):
-                while len(told_failures) < OFTEN:
+                while len(told_failures) < EARLY_FAILURES:
                     await trio.sleep(0.05)
-            # Failures are separate after a minute.
+            # Failures more than a minute ago do not count any more.
             await trio.sleep(70)
             assert fleet.get_owner() == other
             fleet.kill(other)
@@ -185,15 +187,15 @@
     told_failures.clear()
 
 
-def test_what_runs_for_a_life_ends_with_it(
+def test_tasks_of_failed_unit_shell_end_with_it(
     run_virtual, monkeypatch, told_failures
 ):
-    """Its tasks, its feeds and its session are not those of the next life."""
+    """The tasks, feeds and session of a failed shell end with it."""
     ran = []
 
     async def work():
         await trio.sleep(0.5)
-        ran.append('of the life that is over')
+        ran.append('task of the failed shell')
 
     async def run():
         async with open_fleet(1, 2) as fleet:
@@ -203,14 +205,16 @@
             feeds = unit._feeds
             unit.start(work)
             await trio.sleep(0.1)
-            # The inbox holds more for this life when it fails.
-            plant_at(monkeypatch, LeaseSeen, 0, when=lambda _, count: not count)
+            # The inbox holds further events for this shell when it fails.
+            inject_errors(
+                monkeypatch, LeaseSeen, 0, when=lambda _, count: not count
+            )
             unit.see_rows(())
             unit.see_rows(())
             await trio.sleep(2)
             assert unit.is_over
             assert feeds.scope.cancel_called
-            assert len(shell._nursery.child_tasks) < MOST_TASKS
+            assert len(shell._nursery.child_tasks) < MAX_TASKS
             following = shell.units[0]
             assert following.is_owner
             sessions = {unit.config.session_id, following.config.session_id}
@@ -222,10 +226,10 @@
     told_failures.clear()
 
 
-def test_finished_job_whose_progress_raises_is_not_run_again(
+def test_finished_job_with_failing_progress_is_not_run_again(
     run_virtual, monkeypatch, told_failures
 ):
-    """What is done of it is not known, so nothing of it is started."""
+    """It is unknown which of its tasks are done, so none is started."""
 
     async def run():
         async with open_fleet(2, 2) as fleet:
@@ -251,18 +255,18 @@
     told_failures.clear()
 
 
-def test_rows_that_advise_are_left_out_from_the_second_failure_on():
+def test_advisory_rows_are_excluded_from_second_failure_on():
     log = RestartLog()
     assert log.note(('models/u0/model@3',), 1000) == 0
     assert log.advice_after_ms == 0
     assert log.aside == {'models/u0/model@3'}
     assert log.note((), 2000) > 0
     assert log.advice_after_ms > 2000
-    # Long after, a failure is the first one again.
+    # A failure long after the others counts as the first one.
     assert log.note((), 1_000_000) == 0
 
 
-def test_row_set_aside_is_taken_in_no_more(run_virtual):
+def test_excluded_row_version_is_not_accepted(run_virtual):
     async def run():
         async with open_fleet(1, 1) as fleet:
             unit = fleet.instances['i0'].shell.units[0]
@@ -281,16 +285,16 @@
     ('owner', 'name'),
     [(_ownership, 'may_be_free'), (UnitRows, 'make_event')],
 )
-def test_one_units_ticks_and_rows_stop_no_other(
+def test_errors_in_ticks_or_rows_of_unit_do_not_stop_others(
     run_virtual, monkeypatch, told_failures, owner, name
 ):
-    """What raises there at each turn was a fault of the tasks of all units."""
+    """Errors in the tick or the rows of one unit do not end those of others."""
 
     async def run():
         async with open_fleet(2, 60, 10) as fleet:
             await wait_units(fleet)
             real = getattr(owner, name)
-            odd = [
+            failing = [
                 (unit.state, unit._rows)
                 for instance in fleet.instances.values()
                 for number, unit in instance.shell.units.items()
@@ -298,7 +302,7 @@
             ]
 
             def fail(first, *arguments):
-                if any(first is one for pair in odd for one in pair):
+                if any(first is one for pair in failing for one in pair):
                     raise PlantedError(name)
                 return real(first, *arguments)
 
--- a/tests/tulippin/jobs/test_unit_lives_soak.py
+++ b/tests/tulippin/jobs/test_unit_lives_soak.py
@@ -1,8 +1,7 @@
-"""Units that fail at any event, in any phase, also while instances stop.
+"""Soak test of units that fail at random events, also while instances stop.
 
-What is kept through all of it: no task runs beside itself, no job is lost, a
-unit has one owner, epochs only rise, and nothing of a life that is over runs
-on.
+Invariants: no task runs twice at a time, no job is lost, a unit has one owner,
+epochs only rise, and no task of a failed shell goes on.
 """
 
 import random
@@ -17,23 +16,26 @@
 INSTANCES = 3
 WORKERS = 6
 JOBS = 10
-# How often an event fails.
-SHARE = 0.01
-# How long failures go on.
+# Probability that an event fails.
+FAILURE_PROBABILITY = 0.01
+# How long failures are injected.
 FAILING_S = 25.0
 
 
 class PlantedError(Exception):
-    """Nothing of the product raises it, or knows it."""
+    """An injected error that no product code raises or handles."""
 
 
-def plant(monkeypatch, drawn):
-    """Have events fail by chance, before or after the state is changed."""
+def inject_errors(monkeypatch, random_source):
+    """Make random events fail before or after the state is changed."""
     real = core.reduce
 
     def reduce(state, event):
-        is_due = trio.current_time() < FAILING_S and drawn.random() < SHARE
-        if is_due and drawn.random() < 0.5:
+        is_due = (
+            trio.current_time() < FAILING_S
+            and random_source.random() < FAILURE_PROBABILITY
+        )
+        if is_due and random_source.random() < 0.5:
             raise PlantedError
         effects = real(state, event)
         if is_due:
@@ -58,16 +60,16 @@
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_lives_of_units_keep_the_promises(
+def test_failing_units_keep_invariants(
     run_virtual, monkeypatch, told_failures, seed
 ):
-    drawn = random.Random(seed)
+    random_source = random.Random(seed)
 
     async def run():
         async with open_fleet(INSTANCES, WORKERS) as fleet:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch_epochs, fleet)
-                plant(monkeypatch, drawn)
+                inject_errors(monkeypatch, random_source)
                 for number in range(JOBS):
                     step = make_step(2, opportunistic=bool(number % 2))
                     await fleet.submit(
