--- a/src/tulippin/jobs/_accounts.py
+++ b/src/tulippin/jobs/_accounts.py
@@ -18,10 +18,10 @@
 from tulippin.jobs._rows import read_record, read_row
 from tulippin.jobs.ports import RowWrite
 from tulippin.jobs.records import (
-    ACCOUNT_KEY,
     ACCOUNTS_TABLE,
     MODEL_KEY,
     MODELS_TABLE,
+    RELEASE_REPORT_KEY,
     AccountRecord,
 )
 from tulippin.logs import logger
@@ -60,7 +60,7 @@
         # Without a report, the next owner waits for all workers.
         logger.warning('release report too large', bytes=len(value))
     else:
-        writes.append(RowWrite(ACCOUNTS_TABLE, ACCOUNT_KEY, value))
+        writes.append(RowWrite(ACCOUNTS_TABLE, RELEASE_REPORT_KEY, value))
     return writes
 
 
@@ -92,7 +92,7 @@
     account = await _read_report(shell)
     if account is None or account.epoch != effect.epoch.epoch - 1:
         return None
-    return account.hand_on(effect.unused_ms)
+    return account.carry_over(effect.unused_ms)
 
 
 async def _read_report(shell: UnitShell) -> AccountRecord | None:
@@ -101,7 +101,9 @@
     store = shell.ports.store
     try:
         with trio.move_on_after(_READ_LIMIT_S):
-            row = await read_row(store, ACCOUNTS_TABLE, part, ACCOUNT_KEY)
+            row = await read_row(
+                store, ACCOUNTS_TABLE, part, RELEASE_REPORT_KEY
+            )
     except UnavailableError as error:
         logger.info('release report not handed over', reason=error.message)
     return read_record(row, AccountRecord)
--- a/src/tulippin/jobs/_restarts.py
+++ b/src/tulippin/jobs/_restarts.py
@@ -31,16 +31,16 @@
     """Failures of a unit on this instance.
 
     ``failed_ms`` holds the times of recent failures. Advisory inputs are
-    ignored until ``advice_after_ms``, and the row versions named in ``aside``
-    for good. ``life`` counts the restarts.
+    ignored until ``advice_after_ms``, and the row versions named in
+    ``excluded_rows`` for good. ``restart_count`` counts the restarts.
     """
 
     failed_ms: list[int] = attrs.field(factory=list)
-    aside: set[str] = attrs.field(factory=set)
+    excluded_rows: set[str] = attrs.field(factory=set)
     advice_after_ms: int = 0
-    life: int = 0
+    restart_count: int = 0
 
-    def note(self, sources: t.Iterable[str], now_ms: int) -> int:
+    def record_failure(self, sources: t.Iterable[str], now_ms: int) -> int:
         """Record a failure and return the backoff before the restart.
 
         Parameters
@@ -55,10 +55,10 @@
         if self.failed_ms:
             self.advice_after_ms = now_ms + _FAILURE_WINDOW_MS
         self.failed_ms.append(now_ms)
-        if len(self.aside) > _MAX_EXCLUDED_ROWS:
-            self.aside.clear()
-        self.aside.update(sources)
-        self.life += 1
+        if len(self.excluded_rows) > _MAX_EXCLUDED_ROWS:
+            self.excluded_rows.clear()
+        self.excluded_rows.update(sources)
+        self.restart_count += 1
         doublings = len(self.failed_ms) - 2
         if doublings < 0:
             return 0
--- a/src/tulippin/jobs/_row_effects.py
+++ b/src/tulippin/jobs/_row_effects.py
@@ -217,12 +217,12 @@
         )
     else:
         logger.info('unit released', **fields)
-    is_ours, lease_version = _check_ownership(effect, result)
+    is_owned, lease_version = _check_ownership(effect, result)
     shell.post(
         ev.LeaseReleased(
             shell.clock(),
             effect.epoch_version,
-            not is_ours,
+            not is_owned,
             is_unsure,
             lease_version,
         )
@@ -238,14 +238,14 @@
     """
     if result is None:
         return True, 0
-    met = {row.key: row.version for row in result.rows}
-    if result.is_done or met.get(EPOCH_KEY) != effect.epoch_version:
+    versions = {row.key: row.version for row in result.rows}
+    if result.is_done or versions.get(EPOCH_KEY) != effect.epoch_version:
         return False, 0
-    return True, met.get(LEASE_KEY, 0)
+    return True, versions.get(LEASE_KEY, 0)
 
 
 @perform.register(fx.KeepModel)
-def _keep_model(effect: fx.KeepModel, shell: UnitShell) -> None:
+def _persist_model(effect: fx.KeepModel, shell: UnitShell) -> None:
     shell.start(_run_keep, effect, shell)
 
 
@@ -343,7 +343,7 @@
         for suffix in ('', CANCEL_SUFFIX, GUEST_SUFFIX, FAIL_SUFFIX):
             key = f'{job_id}{suffix}'
             writes.append(RowWrite(unit.jobs_table, key, None))
-        if job_id not in effect.guest_ids:
+        if job_id not in effect.transferred_ids:
             writes.append(RowWrite(HOMES_TABLE, job_id, None))
     transactions = [
         Transaction(part, (), tuple(writes))
@@ -480,14 +480,14 @@
 async def _run_fail(effect: fx.FailJob, shell: UnitShell) -> None:
     """Mark a job as failed in all units that hold tasks of it."""
     await _write_until_done(
-        functools.partial(_make_failure, effect, shell),
+        functools.partial(_make_failure_transaction, effect, shell),
         shell,
         'fail job',
         job=effect.job_id,
     )
 
 
-async def _make_failure(
+async def _make_failure_transaction(
     effect: fx.FailJob, shell: UnitShell
 ) -> Transaction | None:
     """Build the transaction that marks a job as failed.
@@ -499,7 +499,7 @@
     home = read_record(row, HomeRecord)
     if home is None or home.is_cancelled or home.is_failed:
         return None
-    mark = encode(FailRecord(effect.reason))
+    fail_value = encode(FailRecord(effect.reason))
     key = f'{effect.job_id}{FAIL_SUFFIX}'
     return Transaction(
         part,
@@ -511,7 +511,7 @@
                 encode(attrs.evolve(home, is_failed=True)),
             ),
             *(
-                RowWrite(Unit(number).jobs_table, key, mark)
+                RowWrite(Unit(number).jobs_table, key, fail_value)
                 for number in home.units
             ),
         ),
--- a/src/tulippin/jobs/_unit_feeds.py
+++ b/src/tulippin/jobs/_unit_feeds.py
@@ -21,11 +21,11 @@
     StoredRow,
 )
 from tulippin.jobs.records import (
-    ACCOUNT_KEY,
     ACCOUNTS_TABLE,
     EPOCH_KEY,
     MODEL_KEY,
     MODELS_TABLE,
+    RELEASE_REPORT_KEY,
     ROSTER_KEY,
     UNITS_TABLE,
     AccountRecord,
@@ -45,7 +45,7 @@
 # timeout together stay below the 3 s in which an instance must recover from a
 # partition.
 FEED_WAIT_MS: t.Final = 1500
-FEED_PAUSE_S: t.Final = 0.1
+FEED_RETRY_PAUSE_S: t.Final = 0.1
 # A model takes some 10 KB for each unit, and is most useful early, while
 # little has been learned here.
 _MODELS_EVERY_S: t.Final = 2.0
@@ -143,7 +143,7 @@
                 return await self._load_once(pages)
             except UnavailableError as error:
                 self.shell.note_store(error)
-            await trio.sleep(FEED_PAUSE_S)
+            await trio.sleep(FEED_RETRY_PAUSE_S)
 
     async def _load_once(
         self, pages: dict[str, RowPage]
@@ -154,12 +154,14 @@
         progress = await store.read_rows(unit.progress_table, unit.part)
         owned = await store.read_rows(UNITS_TABLE, unit.part)
         model_row = await _find_row(store, MODELS_TABLE, unit, MODEL_KEY)
-        account_row = await _find_row(store, ACCOUNTS_TABLE, unit, ACCOUNT_KEY)
+        account_row = await _find_row(
+            store, ACCOUNTS_TABLE, unit, RELEASE_REPORT_KEY
+        )
         workers_read_ms = self.shell.clock()
         workers, version = await self.shell.ports.feeds.read_workers()
         self._update_listed(workers, ())
-        own = {row.key: row for row in owned.rows}
-        roster_row = own.get(ROSTER_KEY)
+        own_rows = {row.key: row for row in owned.rows}
+        roster_row = own_rows.get(ROSTER_KEY)
         roster = read_record(roster_row, RosterRecord)
         if not get_version(roster_row):
             roster = RosterRecord({})
@@ -171,7 +173,7 @@
             get_version(roster_row),
             tuple(filter(self.shell.has_worker, workers)),
             self._read_model(model_row),
-            get_version(own.get(EPOCH_KEY)),
+            get_version(own_rows.get(EPOCH_KEY)),
             read_record(account_row, AccountRecord),
             workers_read_ms,
             _list_row_names(roster_row, model_row, account_row),
@@ -180,7 +182,7 @@
 
     def _read_model(self, row: StoredRow | None) -> ModelRecord | None:
         """Return the persisted model, unless its row is excluded."""
-        if row is None or not self.shell.takes(row):
+        if row is None or not self.shell.accepts_row(row):
             return None
         return read_record(row, ModelRecord)
 
@@ -203,7 +205,7 @@
                 continue
             except UnavailableError as error:
                 self.shell.note_store(error)
-                await trio.sleep(FEED_PAUSE_S)
+                await trio.sleep(FEED_RETRY_PAUSE_S)
                 continue
             self.shell.note_store()
             if event.rows or event.epoch_version:
@@ -211,11 +213,15 @@
 
     def _make_jobs_event(self, page: RowPage) -> ev.JobsChanged:
         """Separate rows of jobs from the epoch row of a newer owner."""
-        own = (self.shell.config.unit.part, EPOCH_KEY)
+        epoch_row_key = (self.shell.config.unit.part, EPOCH_KEY)
         epochs = [
-            row.version for row in page.rows if (row.part, row.key) == own
+            row.version
+            for row in page.rows
+            if (row.part, row.key) == epoch_row_key
         ]
-        rows = tuple(row for row in page.rows if (row.part, row.key) != own)
+        rows = tuple(
+            row for row in page.rows if (row.part, row.key) != epoch_row_key
+        )
         newest = max(epochs, default=0)
         return ev.JobsChanged(self.shell.clock(), rows, newest)
 
@@ -260,7 +266,7 @@
         for row in page.rows:
             if row.part == own_part or row.key != MODEL_KEY:
                 continue
-            if not self.shell.takes(row):
+            if not self.shell.accepts_row(row):
                 continue
             record = read_record(row, ModelRecord)
             if record is not None:
@@ -321,9 +327,11 @@
         read_ms: int,
     ) -> None:
         """Post the changes that concern the unit's own workers."""
-        own = tuple(filter(self.shell.has_worker, changed))
+        own_workers = tuple(filter(self.shell.has_worker, changed))
         workers = self.shell.state.workers
         lost = tuple(worker_id for worker_id in gone if worker_id in workers)
-        if own or lost:
-            event = ev.WorkersChanged(self.shell.clock(), own, lost, read_ms)
+        if own_workers or lost:
+            event = ev.WorkersChanged(
+                self.shell.clock(), own_workers, lost, read_ms
+            )
             self.shell.post(event)
--- a/src/tulippin/jobs/_unit_rows.py
+++ b/src/tulippin/jobs/_unit_rows.py
@@ -33,15 +33,15 @@
     _epoch: EpochRecord | None = None
     _rows: dict[str, StoredRow] = attrs.field(factory=dict)
 
-    def take(self, row: StoredRow, now_ms: int) -> None:
+    def process_row(self, row: StoredRow, now_ms: int) -> None:
         """Process a changed row."""
         self._rows[row.key] = row
         if row.key == LEASE_KEY:
-            self._take_lease(row, now_ms)
+            self._process_lease(row, now_ms)
         elif row.key == EPOCH_KEY:
             self._epoch = _read_epoch(row)
 
-    def _take_lease(self, row: StoredRow, now_ms: int) -> None:
+    def _process_lease(self, row: StoredRow, now_ms: int) -> None:
         """Read the lease; keep the last valid one while it is unreadable."""
         self._newest = read_record(row, LeaseRecord)
         if self._newest != self.lease and not is_unreadable(row, self._newest):
--- a/src/tulippin/jobs/_unit_watch.py
+++ b/src/tulippin/jobs/_unit_watch.py
@@ -18,7 +18,7 @@
 from tulippin.jobs import events as ev
 from tulippin.jobs._resolving import transact_surely
 from tulippin.jobs._rows import get_version, log_unreadable, read_record
-from tulippin.jobs._unit_feeds import FEED_PAUSE_S, FEED_WAIT_MS
+from tulippin.jobs._unit_feeds import FEED_RETRY_PAUSE_S, FEED_WAIT_MS
 from tulippin.jobs.layout import extend_layout, get_rack, make_layout
 from tulippin.jobs.ports import (
     HistoryLostError,
@@ -84,7 +84,7 @@
             self.after = -1
         except UnavailableError as error:
             self.shell.note_store(error)
-            await trio.sleep(FEED_PAUSE_S)
+            await trio.sleep(FEED_RETRY_PAUSE_S)
         else:
             self.shell.note_store()
             self._post_capacities()
@@ -116,7 +116,7 @@
     async def _read_all(self) -> None:
         store = self.shell.ports.store
         page = await store.read_rows(UNITS_TABLE, LAYOUT_PART)
-        self._take_layout(page.rows)
+        self._process_layout(page.rows)
         if self.layout_row is None:
             await self._make_first_layout()
             return
@@ -132,7 +132,7 @@
         changed = collections.defaultdict(list)
         for row in page.rows:
             changed[row.part].append(row)
-        self._take_layout(changed.pop(LAYOUT_PART, ()))
+        self._process_layout(changed.pop(LAYOUT_PART, ()))
         for number, unit in self.shell.units.items():
             rows = changed.get(Unit(number).part)
             if rows:
@@ -141,7 +141,7 @@
         # The rows of a new unit may have preceded the layout that adds it.
         self.after = -1 if is_new and not page.rows else page.version
 
-    def _take_layout(self, rows: t.Iterable[StoredRow]) -> None:
+    def _process_layout(self, rows: t.Iterable[StoredRow]) -> None:
         """Apply a changed layout; the last valid one stays in force otherwise.
 
         An invalid layout is never replaced by a newly made one: a rack that
@@ -158,7 +158,7 @@
                 layout = None
             self.is_layout_invalid = layout is None
             if layout is not None:
-                self.shell.take_layout(layout)
+                self.shell.apply_layout(layout)
 
     def _moves_rack(self, layout: LayoutRecord) -> bool:
         """Whether a layout assigns a known rack to another unit."""
@@ -187,11 +187,13 @@
         await trio.sleep(jitter % _LAYOUT_JITTER_MS / _MS)
         feeds = self.shell.ports.feeds
         entries, _ = await feeds.read_workers()
-        unchanged_since = began_at = trio.current_time()
+        unchanged_since_s = began_at_s = trio.current_time()
         while not await self._has_layout():
-            now = trio.current_time()
-            is_settled = bool(entries) and now - unchanged_since >= _SETTLE_S
-            if is_settled or now - began_at >= _SETTLE_LIMIT_S:
+            now_s = trio.current_time()
+            is_settled = (
+                bool(entries) and now_s - unchanged_since_s >= _SETTLE_S
+            )
+            if is_settled or now_s - began_at_s >= _SETTLE_LIMIT_S:
                 await self._write_layout(
                     make_layout(self._filter_configured(entries))
                 )
@@ -200,7 +202,7 @@
             worker_ids = {entry.worker_id for entry in entries}
             entries, _ = await feeds.read_workers()
             if worker_ids != {entry.worker_id for entry in entries}:
-                unchanged_since = trio.current_time()
+                unchanged_since_s = trio.current_time()
 
     async def _has_layout(self) -> bool:
         """Whether another instance has written a layout."""
--- a/src/tulippin/jobs/effects.py
+++ b/src/tulippin/jobs/effects.py
@@ -141,12 +141,12 @@
 class RemoveJobs(JobEffect):
     """Remove jobs that ended long ago from the store.
 
-    ``guest_ids`` are transferred jobs, whose home unit removes the rest.
+    ``transferred_ids`` are transferred jobs, whose home unit removes the rest.
     """
 
     job_ids: tuple[str, ...]
     epoch_version: int
-    guest_ids: frozenset[str] = frozenset()
+    transferred_ids: frozenset[str] = frozenset()
 
 
 @attrs.frozen
--- a/src/tulippin/jobs/intake.py
+++ b/src/tulippin/jobs/intake.py
@@ -209,11 +209,13 @@
         """Return how many of a queue's jobs have no task begun."""
         if not self.shell.units:
             raise UnavailableError('the layout of units is not known yet')
-        counts = [_get_waiting(unit) for unit in self.shell.units.values()]
+        counts = [
+            _get_waiting_counts(unit) for unit in self.shell.units.values()
+        ]
         return sum(waiting.get(queue.name, 0) for waiting in counts)
 
 
-def _get_waiting(unit: UnitShell) -> dict[str, int]:
+def _get_waiting_counts(unit: UnitShell) -> dict[str, int]:
     """Return the number of waiting jobs of a unit, by queue.
 
     Raises ``UnavailableError`` if the lease has not been read or is invalid,
@@ -254,7 +256,7 @@
 ) -> Transaction:
     """Return the transaction that cancels a job in all of its units."""
     cancelled = attrs.evolve(home, is_cancelled=True)
-    mark = encode(CancelRecord(queue.name))
+    cancel_value = encode(CancelRecord(queue.name))
     return Transaction(
         row.part,
         (RowCondition(HOMES_TABLE, job_id, row.version),),
@@ -262,7 +264,9 @@
             RowWrite(HOMES_TABLE, job_id, encode(cancelled)),
             *(
                 RowWrite(
-                    Unit(number).jobs_table, f'{job_id}{CANCEL_SUFFIX}', mark
+                    Unit(number).jobs_table,
+                    f'{job_id}{CANCEL_SUFFIX}',
+                    cancel_value,
                 )
                 for number in home.units
             ),
--- a/src/tulippin/jobs/records.py
+++ b/src/tulippin/jobs/records.py
@@ -21,7 +21,7 @@
 MODEL_KEY: t.Final = 'model'
 # The release report: where each task may run when an owner releases its unit.
 ACCOUNTS_TABLE: t.Final = 'accounts'
-ACCOUNT_KEY: t.Final = 'account'
+RELEASE_REPORT_KEY: t.Final = 'account'
 # The home unit of each job: one row for each job, in the job's part.
 HOMES_TABLE: t.Final = 'homes'
 # The table and the part that hold the bundles.
@@ -326,7 +326,7 @@
     epoch: int
     workers: dict[str, WorkerAccount] = attrs.field(factory=dict)
 
-    def hand_on(self, unused_ms: int) -> AccountRecord:
+    def carry_over(self, unused_ms: int) -> AccountRecord:
         """Return the report for the successor of an owner without orders.
 
         Parameters
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -17,7 +17,7 @@
 from tulippin.jobs import _balancing
 from tulippin.jobs import events as ev
 from tulippin.jobs._resolving import AnswerTimes
-from tulippin.jobs._unit_feeds import FEED_PAUSE_S, FEED_WAIT_MS
+from tulippin.jobs._unit_feeds import FEED_RETRY_PAUSE_S, FEED_WAIT_MS
 from tulippin.jobs._unit_watch import UnitWatch
 from tulippin.jobs.layout import get_rack
 from tulippin.jobs.ports import HistoryLostError, SchedulerPorts
@@ -126,7 +126,7 @@
 
     # -- units ---------------------------------------------------------------
 
-    def take_layout(self, layout: LayoutRecord) -> None:
+    def apply_layout(self, layout: LayoutRecord) -> None:
         """Set the layout, and add a shell for each new unit."""
         self.layout = layout
         self.laid_out.set()
@@ -139,12 +139,12 @@
         self._start_unit(UnitShell(config, self))
 
     def replace_unit(
-        self, failed: UnitShell, unit: UnitShell, rest_ms: int
+        self, failed: UnitShell, unit: UnitShell, backoff_ms: int
     ) -> None:
         """Replace the shell of a failed unit by a new one.
 
         The queued events of the failed shell are dropped; other units are not
-        affected. The new shell gets no event for ``rest_ms``, as one that
+        affected. The new shell gets no event for ``backoff_ms``, as one that
         fails at every event would otherwise use up the instance's processor.
         """
         for inbox in (self._urgent, self._inbox):
@@ -152,17 +152,17 @@
             inbox.clear()
             inbox.extend(kept)
         self.units[unit.config.unit.number] = unit
-        if rest_ms:
-            unit.is_resting = True
-            self.start(self._start_replacement_later, unit, rest_ms)
+        if backoff_ms:
+            unit.is_backing_off = True
+            self.start(self._start_replacement_later, unit, backoff_ms)
         else:
             self._start_replacement(unit)
 
     async def _start_replacement_later(
-        self, unit: UnitShell, rest_ms: int
+        self, unit: UnitShell, backoff_ms: int
     ) -> None:
-        await trio.sleep(rest_ms / _MS)
-        unit.is_resting = False
+        await trio.sleep(backoff_ms / _MS)
+        unit.is_backing_off = False
         self._start_replacement(unit)
 
     def _start_replacement(self, unit: UnitShell) -> None:
@@ -312,7 +312,7 @@
                 continue
             except UnavailableError as error:
                 self.note_store(error)
-                await trio.sleep(FEED_PAUSE_S)
+                await trio.sleep(FEED_RETRY_PAUSE_S)
                 continue
             self.note_store()
             if configuration is not None:
--- a/src/tulippin/jobs/unit_shell.py
+++ b/src/tulippin/jobs/unit_shell.py
@@ -71,8 +71,8 @@
     ) -> None:
         self.config = config
         self.state: SchedulerState = core.make_state(config)
-        self.is_over = False
-        self.is_resting = False
+        self.is_ended = False
+        self.is_backing_off = False
         # Whether the owner of the unit has been read.
         self.is_seen = False
         self._parent = parent
@@ -114,18 +114,18 @@
     @property
     def is_owner(self) -> bool:
         """Whether the instance owns the unit and has loaded it."""
-        return not self.is_over and self.state.ownership.phase is Phase.ACTIVE
+        return not self.is_ended and self.state.ownership.phase is Phase.ACTIVE
 
     @property
     def is_held(self) -> bool:
         """Whether the instance owns the unit, or is taking or releasing it."""
         phase = self.state.ownership.phase
-        return not self.is_over and phase in _HELD_PHASES
+        return not self.is_ended and phase in _HELD_PHASES
 
     @property
     def has_left(self) -> bool:
         """Whether a planned stop need not wait for this unit."""
-        return self.is_resting or self.state.ownership.phase is Phase.LEFT
+        return self.is_backing_off or self.state.ownership.phase is Phase.LEFT
 
     @property
     def may_be_free(self) -> bool:
@@ -142,12 +142,12 @@
         Events are dropped while the shell waits after a failure; it gets all
         current information when it starts.
         """
-        if not (self.is_over or self.is_resting):
+        if not (self.is_ended or self.is_backing_off):
             self._parent.post_to(self, event)
 
     def start(self, task: t.Callable[..., t.Awaitable[None]], *args) -> None:
         """Run the task of an effect concurrently with the loop."""
-        if not self.is_over:
+        if not self.is_ended:
             self._parent.start(self._run_task, task, args)
 
     async def _run_task(
@@ -156,7 +156,7 @@
         args: tuple[t.Any, ...],
     ) -> None:
         """Run a task until it ends or this shell does."""
-        if self.is_over:
+        if self.is_ended:
             # The shell ended after the task was started and before it ran.
             return
         began_ms = self.clock()
@@ -172,11 +172,11 @@
                 'tulippin_effect_seconds', type(args[0]).__name__, began_ms
             )
 
-    def takes(self, row: StoredRow) -> bool:
+    def accepts_row(self, row: StoredRow) -> bool:
         """Whether an advisory row is used."""
-        is_aside = name_row(row) in self._restarts.aside
-        is_early = self.clock() < self._restarts.advice_after_ms
-        return not (is_aside or is_early or self.config.is_without_advice)
+        is_excluded = name_row(row) in self._restarts.excluded_rows
+        is_paused = self.clock() < self._restarts.advice_after_ms
+        return not (is_excluded or is_paused or self.config.is_without_advice)
 
     def observe(self, name: str, label: str, began_ms: int) -> None:
         """Record the time since ``began_ms`` in a latency metric."""
@@ -207,7 +207,7 @@
 
     def step(self, event: ev.JobEvent) -> None:
         """Reduce one event and start its effects."""
-        if self.is_over:
+        if self.is_ended:
             return
         event = attrs.evolve(event, at_ms=self.clock())
         try:
@@ -236,14 +236,14 @@
         writes in flight are refused once the unit is taken under the next
         epoch.
         """
-        if self.is_over:
+        if self.is_ended:
             # Further errors of an ended shell are only reported.
             failures.tell(
                 'task failed', error, unit=self.config.unit.number, **fields
             )
             return
-        self.is_over = True
-        wait_ms = self._restarts.note(sources, self.clock())
+        self.is_ended = True
+        wait_ms = self._restarts.record_failure(sources, self.clock())
         failures.tell(
             'unit failed',
             error,
@@ -265,7 +265,8 @@
         """Return the next shell, which starts from the known rows."""
         session_id = self.config.session_id.partition('/')[0]
         config = attrs.evolve(
-            self.config, session_id=f'{session_id}/{self._restarts.life}'
+            self.config,
+            session_id=f'{session_id}/{self._restarts.restart_count}',
         )
         unit = UnitShell(config, self._parent, self._rows, self._restarts)
         unit.state.advice_after_ms = self._restarts.advice_after_ms
@@ -282,7 +283,7 @@
 
     def _process_rows(self, rows: t.Iterable[StoredRow]) -> None:
         for row in rows:
-            self._rows.take(row, self.clock())
+            self._rows.process_row(row, self.clock())
         self.post(self._rows.make_event(self.clock()))
 
     def follow_unit(self) -> None:
@@ -303,7 +304,7 @@
 
 
 @perform.register
-def _tell_failure(effect: fx.TellFailure, shell: UnitShell) -> None:
+def _report_failure(effect: fx.TellFailure, shell: UnitShell) -> None:
     failures.tell(
         effect.what,
         effect.error,
--- a/tests/tulippin/jobs/test_accounts.py
+++ b/tests/tulippin/jobs/test_accounts.py
@@ -21,8 +21,8 @@
 )
 from tulippin.jobs.core import make_state
 from tulippin.jobs.records import (
-    ACCOUNT_KEY,
     ACCOUNTS_TABLE,
+    RELEASE_REPORT_KEY,
     AccountRecord,
     EpochRecord,
     Unit,
@@ -191,7 +191,7 @@
 
 
 def read_account(fleet):
-    place = ACCOUNTS_TABLE, Unit(0).part, ACCOUNT_KEY
+    place = ACCOUNTS_TABLE, Unit(0).part, RELEASE_REPORT_KEY
     return decode(fleet.platform.store.rows[place].value, AccountRecord)
 
 
@@ -218,7 +218,7 @@
 
 def test_remaining_duration_is_not_negative():
     account = AccountRecord(4, {'w0': WorkerAccount(300, ('a',), True)})
-    assert account.hand_on(500) == AccountRecord(
+    assert account.carry_over(500) == AccountRecord(
         5, {'w0': WorkerAccount(0, ('a',), True)}
     )
 
--- a/tests/tulippin/jobs/test_reached_records.py
+++ b/tests/tulippin/jobs/test_reached_records.py
@@ -151,5 +151,5 @@
     st.integers(0, 10**6),
 )
 def test_release_report_handed_over_is_valid(workers, unused_ms):
-    account = AccountRecord(4, workers).hand_on(unused_ms)
+    account = AccountRecord(4, workers).carry_over(unused_ms)
     assert read_back(account) == account
--- a/tests/tulippin/jobs/test_unit_failures_review.py
+++ b/tests/tulippin/jobs/test_unit_failures_review.py
@@ -132,7 +132,7 @@
     """The unit fails after a task was started and before it ran."""
     ran = []
 
-    async def note(name):
+    async def record_run(name):
         ran.append(name)
 
     async def run():
@@ -140,13 +140,13 @@
             await fleet.wait_owner()
             shell = fleet.instances['i0'].shell
             unit = shell.units[0]
-            unit.start(note, 'task of the failed shell')
+            unit.start(record_run, 'task of the failed shell')
             inject_errors(
                 monkeypatch, LeaseSeen, 0, when=lambda _, count: not count
             )
             unit.step(LeaseSeen(shell.clock(), None, 0, None, 0))
             await trio.sleep(1)
-            assert unit.is_over
+            assert unit.is_ended
 
     run_virtual(run)
     assert ran == []
@@ -212,7 +212,7 @@
             unit.see_rows(())
             unit.see_rows(())
             await trio.sleep(2)
-            assert unit.is_over
+            assert unit.is_ended
             assert feeds.scope.cancel_called
             assert len(shell._nursery.child_tasks) < MAX_TASKS
             following = shell.units[0]
@@ -257,13 +257,13 @@
 
 def test_advisory_rows_are_excluded_from_second_failure_on():
     log = RestartLog()
-    assert log.note(('models/u0/model@3',), 1000) == 0
+    assert log.record_failure(('models/u0/model@3',), 1000) == 0
     assert log.advice_after_ms == 0
-    assert log.aside == {'models/u0/model@3'}
-    assert log.note((), 2000) > 0
+    assert log.excluded_rows == {'models/u0/model@3'}
+    assert log.record_failure((), 2000) > 0
     assert log.advice_after_ms > 2000
     # A failure long after the others counts as the first one.
-    assert log.note((), 1_000_000) == 0
+    assert log.record_failure((), 1_000_000) == 0
 
 
 def test_excluded_row_version_is_not_accepted(run_virtual):
@@ -271,12 +271,12 @@
         async with open_fleet(1, 1) as fleet:
             unit = fleet.instances['i0'].shell.units[0]
             row = StoredRow(MODELS_TABLE, 'u0', MODEL_KEY, b'{}', 3)
-            assert unit.takes(row)
-            unit._restarts.note((name_row(row),), unit.clock())
-            assert not unit.takes(row)
-            assert unit.takes(attrs.evolve(row, version=4))
-            unit._restarts.note((), unit.clock())
-            assert not unit.takes(attrs.evolve(row, version=4))
+            assert unit.accepts_row(row)
+            unit._restarts.record_failure((name_row(row),), unit.clock())
+            assert not unit.accepts_row(row)
+            assert unit.accepts_row(attrs.evolve(row, version=4))
+            unit._restarts.record_failure((), unit.clock())
+            assert not unit.accepts_row(attrs.evolve(row, version=4))
 
     run_virtual(run)
 
