--- a/src/tulippin/platform/__init__.py
+++ b/src/tulippin/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The users' platform: the one folder that knows its names.
+"""Adapters to the users' platform: store, workers, callers and advice.
 
-Everything is decoded here once, into the product's own types. Where a
-name of the platform misleads, a comment beside its field says so.
+Only this package uses the platform's own names. It decodes everything that
+the platform sends into the types of `tulippin.jobs`. A comment beside a
+field says what it holds where the platform's name for it is misleading.
 """
--- a/src/tulippin/platform/callers.py
+++ b/src/tulippin/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' calls and the readiness question, as the platform sends them."""
+"""ASGI application that serves callers' requests and the readiness check."""
 
 from __future__ import annotations
 
@@ -40,37 +40,35 @@
 )
 from tulippin.types import Resources
 
-_JOB_ID: t.Final = re.compile('[0-9a-fA-F]{16}')
+_JOB_ID_PATTERN: t.Final = re.compile('[0-9a-fA-F]{16}')
 _READY_PATH: t.Final = '/v1/ready'
 _DEADLINE_HEADER: t.Final = b'deadline-ms'
-# A caller that gives no deadline is taken to wait so long: the shortest
-# deadline that the users' sheets give.
+# Deadline of a request without one: the shortest deadline in use.
 _DEFAULT_DEADLINE_MS: t.Final = 3000
-# Above any deadline of the users' sheets; what is longer is waited for so
-# long.
-_LONGEST_DEADLINE_MS: t.Final = 3_600_000
-_DEADLINE: t.Final = re.compile(b'(-?)0*([0-9]+)')
-# A number of more digits is above any deadline, and not worth reading.
-_DEADLINE_DIGITS: t.Final = 9
-# Kept back of a deadline for the answer's way to the caller: 3 ms each
-# way and a slow machine's scheduling. Of a short one, half of it.
-_ANSWER_MS: t.Final = 300
-_MS: t.Final = 1000
-_SPEC_LIMIT_BYTES: t.Final = 4000
-# Of tasks on one worker, or away at once; some callers write the largest
-# number that they know for no bound.
-_MOST_SPREAD: t.Final = 2**64
+# Longer deadlines are cut to this value, which is above any deadline in use.
+_MAX_DEADLINE_MS: t.Final = 3_600_000
+_DEADLINE_PATTERN: t.Final = re.compile(b'(-?)0*([0-9]+)')
+# A number with more digits is above the maximum and is not parsed.
+_MAX_DEADLINE_DIGITS: t.Final = 9
+# Part of a deadline that is reserved for returning the reply: 3 ms of network
+# latency each way, and scheduling delays on a slow machine. A short deadline
+# reserves half of itself.
+_MAX_REPLY_RESERVE_MS: t.Final = 300
+_MS_PER_S: t.Final = 1000
+_MAX_SPEC_BYTES: t.Final = 4000
+# Limit of tasks per worker and of unavailable tasks; some callers send the
+# largest integer of their language for "unlimited".
+_MAX_COUNT_LIMIT: t.Final = 2**64
 _BAD_REQUEST: t.Final = 400
-# Whether a call was carried out is not known.
-_UNKNOWN: t.Final = 504
-_REFUSED: t.Final = 503
-# Of what a caller sends, a log line takes so much.
-_PATH_SIGNS: t.Final = 200
-# A colon, a blank and a line's end around each header.
-_HEADER_SIGNS: t.Final = 4
-# When to come back after a refusal: a takeover takes about so long.
+# The request may or may not have been carried out.
+_OUTCOME_UNKNOWN: t.Final = 504
+_UNAVAILABLE: t.Final = 503
+_MAX_LOGGED_PATH_CHARS: t.Final = 200
+# The colon, the space and the CRLF of each header line.
+_HEADER_OVERHEAD_BYTES: t.Final = 4
+# About the duration of a takeover.
 _RETRY_AFTER_S: t.Final = '1'
-_STATES: t.Final = {state: state.value for state in JobState}
+_STATE_NAMES: t.Final = {state: state.value for state in JobState}
 
 _job_decoder = msgspec.json.Decoder(JobBody)
 
@@ -80,52 +78,52 @@
 
 
 class BodyTooLargeError(InputError):
-    """A body is over the configured limit."""
+    """The request body exceeds the configured limit."""
 
     code = 'body_too_large'
 
 
 class HeadersTooLargeError(InputError):
-    """A call's headers are over the configured limit."""
+    """The request headers exceed the configured limit."""
 
     code = 'headers_too_large'
 
 
-# The status of a refusal by what was wrong; anything else is a 400.
-_REFUSAL_STATUSES: t.Final = {
+# Other input errors get status 400.
+_INPUT_ERROR_STATUSES: t.Final = {
     BodyTooLargeError: 413,
     HeadersTooLargeError: 431,
 }
 
 
-class _Bound(t.NamedTuple):
-    """Between which figures a field of a body is, and the platform's name."""
+class _FieldRange(t.NamedTuple):
+    """Range of a numeric body field, and the platform's name of the field."""
 
     name: str
     field: str
-    least: int
-    most: int
+    minimum: int
+    maximum: int
 
 
-_JOB_BOUNDS: t.Final = (
-    _Bound('StartAtMs', 'start_at_ms', 0, LONGEST_MS),
-    _Bound('IntervalMs', 'interval_ms', 0, LONGEST_MS),
-    _Bound('RepeatCount', 'repeat_count', 0, MOST_TASKS),
+_JOB_RANGES: t.Final = (
+    _FieldRange('StartAtMs', 'start_at_ms', 0, LONGEST_MS),
+    _FieldRange('IntervalMs', 'interval_ms', 0, LONGEST_MS),
+    _FieldRange('RepeatCount', 'repeat_count', 0, MOST_TASKS),
 )
-_STEP_BOUNDS: t.Final = (
-    _Bound('Count', 'count', 1, MOST_TASKS),
-    _Bound('Cpu', 'cpu', 0, MOST_AMOUNT),
-    _Bound('MemMb', 'memory_mb', 0, MOST_AMOUNT),
-    _Bound('Gpus', 'gpus', 0, MOST_AMOUNT),
-    _Bound('EstimatedMs', 'estimated_ms', 0, LONGEST_MS),
-    _Bound('AntiAffinity', 'anti_affinity', 0, _MOST_SPREAD),
-    _Bound('target_ms', 'target_ms', 0, LONGEST_MS),
-    _Bound('may_miss', 'may_miss', 0, _MOST_SPREAD),
+_STEP_RANGES: t.Final = (
+    _FieldRange('Count', 'count', 1, MOST_TASKS),
+    _FieldRange('Cpu', 'cpu', 0, MOST_AMOUNT),
+    _FieldRange('MemMb', 'memory_mb', 0, MOST_AMOUNT),
+    _FieldRange('Gpus', 'gpus', 0, MOST_AMOUNT),
+    _FieldRange('EstimatedMs', 'estimated_ms', 0, LONGEST_MS),
+    _FieldRange('AntiAffinity', 'anti_affinity', 0, _MAX_COUNT_LIMIT),
+    _FieldRange('target_ms', 'target_ms', 0, LONGEST_MS),
+    _FieldRange('may_miss', 'may_miss', 0, _MAX_COUNT_LIMIT),
 )
 
 
 class Reply(t.NamedTuple):
-    """An answer: its status, its body and whether to come back later."""
+    """Reply to a request; `retry` adds a Retry-After header."""
 
     status: int
     body: msgspec.Struct | None = None
@@ -133,59 +131,68 @@
 
 
 def decode_job(body: bytes) -> JobRequest:
-    """Return a job as a caller sent it.
+    """Decode and validate a job request.
 
     Raises
     ------
     InputError
-        With all findings, if it is not a job that could ever run.
+        With all findings, if the job is invalid.
     """
     try:
-        wire = _job_decoder.decode(body)
+        job_body = _job_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InputError(str(error), code='bad_job') from error
-    findings = list(_check_job(wire))
+    findings = list(_check_job(job_body))
     if findings:
         raise InputError('the job is refused', findings, code='bad_job')
     request = JobRequest(
-        wire.spec,
-        tuple(_decode_step(step) for step in wire.steps),
-        Schedule(wire.start_at_ms, wire.interval_ms, wire.repeat_count),
+        job_body.spec,
+        tuple(_decode_step(step) for step in job_body.steps),
+        Schedule(
+            job_body.start_at_ms,
+            job_body.interval_ms,
+            job_body.repeat_count,
+        ),
     )
-    # Its owner would pass over what its own check refuses, and a job that
-    # was accepted would never run.
+    # The owner skips rows that fail this check, so that the accepted job would
+    # never run.
     fault = find_fault(request)
     if fault:
         raise InputError(f'the job is refused: {fault}', code='bad_job')
     return request
 
 
-def _check_job(wire: JobBody) -> t.Iterator[Finding]:
-    if len(wire.spec.encode()) > _SPEC_LIMIT_BYTES:
-        yield Finding('Spec', 'is too long', f'{_SPEC_LIMIT_BYTES} bytes')
-    if not wire.steps:
+def _check_job(job_body: JobBody) -> t.Iterator[Finding]:
+    """Yield a finding for each invalid field of a job."""
+    if len(job_body.spec.encode()) > _MAX_SPEC_BYTES:
+        yield Finding('Spec', 'is too long', f'{_MAX_SPEC_BYTES} bytes')
+    if not job_body.steps:
         yield Finding('Steps', 'is empty', 'give at least one step')
-    yield from _check_figures('', wire, _JOB_BOUNDS)
-    for number, step in enumerate(wire.steps):
-        place = f'Steps[{number}]'
-        yield from _check_figures(f'{place}.', step, _STEP_BOUNDS)
-        if any(not 0 <= one < number for one in step.after):
-            yield Finding(f'{place}.AfterRevision', 'names no earlier step')
+    yield from _check_ranges('', job_body, _JOB_RANGES)
+    for number, step in enumerate(job_body.steps):
+        path = f'Steps[{number}]'
+        yield from _check_ranges(f'{path}.', step, _STEP_RANGES)
+        if any(not 0 <= index < number for index in step.after):
+            yield Finding(f'{path}.AfterRevision', 'names no earlier step')
 
 
-def _check_figures(
-    place: str, wire: msgspec.Struct, bounds: t.Iterable[_Bound]
+def _check_ranges(
+    path: str, body: msgspec.Struct, ranges: t.Iterable[_FieldRange]
 ) -> t.Iterator[Finding]:
-    for bound in bounds:
-        figure = getattr(wire, bound.field)
-        if figure < bound.least:
-            yield Finding(f'{place}{bound.name}', f'is below {bound.least}')
-        if figure > bound.most:
-            yield Finding(f'{place}{bound.name}', f'is above {bound.most}')
+    for allowed in ranges:
+        value = getattr(body, allowed.field)
+        if value < allowed.minimum:
+            yield Finding(
+                f'{path}{allowed.name}', f'is below {allowed.minimum}'
+            )
+        if value > allowed.maximum:
+            yield Finding(
+                f'{path}{allowed.name}', f'is above {allowed.maximum}'
+            )
 
 
 def _decode_time_ms(time_ms: float) -> int:
-    """Return a time as a whole number; 0 says that there is none."""
+    """Convert a duration to whole milliseconds, at least 1; 0 means absent."""
     return max(1, int(time_ms)) if time_ms else 0
 
 
@@ -211,14 +218,14 @@
 
 
 class CallersApp:
-    """An ASGI application: jobs for callers, readiness for the platform.
+    """ASGI application for callers' job requests and the readiness check.
 
     Parameters
     ----------
     intake : JobIntake
-        Takes the calls.
+        Submits, cancels and looks up jobs.
     get_unready : callable
-        Returns why the instance is not ready, or an empty text.
+        Returns why the instance is not ready, or an empty string.
     """
 
     def __init__(
@@ -231,32 +238,32 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Answer one call."""
+        """Handle one HTTP request."""
         if scope['type'] != 'http':
             raise NotImplementedError(scope['type'])
         if scope['path'] == _READY_PATH:
-            reply = Reply(_REFUSED if self._get_unready() else 200)
+            reply = Reply(_UNAVAILABLE if self._get_unready() else 200)
         else:
-            reply = await self._answer_surely(scope, receive)
+            reply = await self._handle_or_report(scope, receive)
         await self._send(reply, send)
 
-    async def _answer_surely(self, scope: Scope, receive: Receive) -> Reply:
-        """Answer one call, also one that fails by a fault of ours.
+    async def _handle_or_report(self, scope: Scope, receive: Receive) -> Reply:
+        """Handle a request; turn an unexpected error into a 504 reply.
 
-        What was asked for may have been done. Its caller is told so, with the
-        status after which it may ask again.
+        The operation may have been carried out before the error, which 504
+        says to the caller; it may retry.
         """
         try:
-            return await self._answer(scope, receive)
+            return await self._handle(scope, receive)
         except Exception as error:
             failures.tell(
                 'call failed',
                 error,
                 method=scope['method'],
-                path=scope['path'][:_PATH_SIGNS],
+                path=scope['path'][:_MAX_LOGGED_PATH_CHARS],
             )
             text = f'internal: {INTERNAL_MESSAGE}'
-            return Reply(_UNKNOWN, ErrorBody(text), retry=True)
+            return Reply(_OUTCOME_UNKNOWN, ErrorBody(text), retry=True)
 
     async def _send(self, reply: Reply, send: Send) -> None:
         body = b'' if reply.body is None else msgspec.json.encode(reply.body)
@@ -277,12 +284,13 @@
         )
         await send({'type': 'http.response.body', 'body': body})
 
-    async def _answer(self, scope: Scope, receive: Receive) -> Reply:
+    async def _handle(self, scope: Scope, receive: Receive) -> Reply:
+        """Find the queue, check deadline and headers, and run the request."""
         headers = dict(scope['headers'])
         configuration = self._intake.shell.configuration
         if configuration is None:
             return Reply(
-                _REFUSED, ErrorBody('no configuration yet'), retry=True
+                _UNAVAILABLE, ErrorBody('no configuration yet'), retry=True
             )
         host = headers.get(b'host', b'').decode('latin-1').partition(':')[0]
         queue = configuration.find_queue(host, scope['path'])
@@ -291,26 +299,28 @@
         job_id = scope['path'].removeprefix(queue.path_prefix).strip('/')
         limit_ms = read_limit_ms(headers)
         if limit_ms < LEAST_LIMIT_MS:
-            return _give_up(
-                job_id, _REFUSED, 'not run: too little time is left'
+            return _reply_retry(
+                job_id, _UNAVAILABLE, 'not run: too little time is left'
             )
         try:
-            with trio.fail_after(limit_ms / _MS):
+            with trio.fail_after(limit_ms / _MS_PER_S):
                 _check_headers(scope, configuration.max_header_bytes)
                 body = await _read_body(receive, configuration.max_body_bytes)
                 return await self._dispatch(
                     scope['method'], job_id, queue, body, limit_ms
                 )
         except InputError as error:
-            return _refuse_input(job_id, error)
+            return _reply_invalid(job_id, error)
         except UnavailableError as error:
-            # Only what surely was not done may be refused.
-            is_open = isinstance(error, AnswerLostError)
-            return _give_up(
-                job_id, _UNKNOWN if is_open else _REFUSED, error.message
+            # 503 is only for operations that were definitely not carried out.
+            may_be_done = isinstance(error, AnswerLostError)
+            return _reply_retry(
+                job_id,
+                _OUTCOME_UNKNOWN if may_be_done else _UNAVAILABLE,
+                error.message,
             )
         except trio.TooSlowError:
-            return _give_up(job_id, _UNKNOWN, 'out of time')
+            return _reply_retry(job_id, _OUTCOME_UNKNOWN, 'out of time')
 
     async def _dispatch(
         self,
@@ -320,12 +330,21 @@
         body: bytes,
         limit_ms: int,
     ) -> Reply:
+        """Run the operation that method and path ask for.
+
+        Raises
+        ------
+        InputError
+            If the job id or the body is invalid.
+        UnavailableError
+            If the operation can't be completed now.
+        """
         intake = self._intake
         if not job_id:
             if method != 'GET':
                 return Reply(405, ErrorBody('a queue can only be read'))
             return Reply(200, WaitingBody(intake.count_waiting(queue)))
-        if not _JOB_ID.fullmatch(job_id):
+        if not _JOB_ID_PATTERN.fullmatch(job_id):
             raise InputError('an id is 16 hex digits', code='bad_id')
         if method == 'POST':
             request = decode_job(body)
@@ -340,11 +359,12 @@
         if state is None:
             logger.info('job not found', job=job_id, queue=queue.name)
             return Reply(410, ErrorBody('no such job'))
-        return Reply(200, StateBody(_STATES[state]))
+        return Reply(200, StateBody(_STATE_NAMES[state]))
 
 
-def _refuse_input(job_id: str, error: InputError) -> Reply:
-    status = _REFUSAL_STATUSES.get(type(error), _BAD_REQUEST)
+def _reply_invalid(job_id: str, error: InputError) -> Reply:
+    """Log an invalid request and return its reply."""
+    status = _INPUT_ERROR_STATUSES.get(type(error), _BAD_REQUEST)
     text = '; '.join(
         [error.message, *(finding.render() for finding in error.findings)]
     )
@@ -352,15 +372,22 @@
     return Reply(status, ErrorBody(f'{error.code}: {text}'))
 
 
-def _give_up(job_id: str, status: int, reason: str) -> Reply:
-    logger.warning('call given up', job=job_id, status=status, reason=reason)
+def _reply_retry(job_id: str, status: int, reason: str) -> Reply:
+    """Log a request that can't be completed; ask its caller to retry."""
+    logger.warning('call abandoned', job=job_id, status=status, reason=reason)
     return Reply(status, ErrorBody(reason), retry=True)
 
 
 def _check_headers(scope: Scope, limit_bytes: int) -> None:
-    """Refuse a call whose headers, as they are sent, exceed a limit."""
+    """Check the size of the headers as they are on the wire.
+
+    Raises
+    ------
+    HeadersTooLargeError
+        If they exceed the limit.
+    """
     sent_bytes = sum(
-        len(name) + len(value) + _HEADER_SIGNS
+        len(name) + len(value) + _HEADER_OVERHEAD_BYTES
         for name, value in scope['headers']
     )
     if sent_bytes > limit_bytes:
@@ -370,23 +397,23 @@
 
 
 def read_limit_ms(headers: t.Mapping[bytes, bytes]) -> int:
-    """Return for how long a call may be worked on; 0 if its time is over.
+    """Return how long a request may be processed; at most 0 if it is late.
 
-    A text that is no whole number counts as none.
+    A deadline header that is not an integer is ignored.
     """
-    match = _DEADLINE.fullmatch(headers.get(_DEADLINE_HEADER, b''))
+    match = _DEADLINE_PATTERN.fullmatch(headers.get(_DEADLINE_HEADER, b''))
     deadline_ms = _DEFAULT_DEADLINE_MS
     if match is not None:
         deadline_ms = _decode_deadline_ms(*match.groups())
-    return deadline_ms - min(_ANSWER_MS, -(-deadline_ms // 2))
+    return deadline_ms - min(_MAX_REPLY_RESERVE_MS, -(-deadline_ms // 2))
 
 
 def _decode_deadline_ms(sign: bytes, digits: bytes) -> int:
     if sign:
         return 0
-    if len(digits) > _DEADLINE_DIGITS:
-        return _LONGEST_DEADLINE_MS
-    return min(int(digits), _LONGEST_DEADLINE_MS)
+    if len(digits) > _MAX_DEADLINE_DIGITS:
+        return _MAX_DEADLINE_MS
+    return min(int(digits), _MAX_DEADLINE_MS)
 
 
 async def _read_body(receive: Receive, limit_bytes: int) -> bytes:
--- a/src/tulippin/platform/feeds.py
+++ b/src/tulippin/platform/feeds.py
@@ -1,4 +1,4 @@
-"""The operators' configuration and the list of workers."""
+"""Feeds of the operators' configuration and of the worker list."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 _OPERATOR_TABLE: t.Final = 'op'
 _CONFIG_KEY: t.Final = 'config'
-_CONFIG_KEY_FULL: t.Final = 'op/config'
+_FULL_CONFIG_KEY: t.Final = 'op/config'
 _WORKERS_TABLE: t.Final = 'servers'
 _WORKERS_PREFIX: t.Final = 'servers/'
 _READY: t.Final = 'ready'
-# A worker's id is sent to it in a header, so it is of plain characters.
-_WORKER_ID: t.Final = re.compile('[A-Za-z0-9][!-.0-~]{0,199}')
-# What entries of wrong form raise: not JSON, not of the form wanted, not
-# text, or nested too deeply to be read.
-_UNREADABLE: t.Final = (msgspec.DecodeError, ValueError, RecursionError)
-# Some 100 bytes each.
-_TOLD_KEPT: t.Final = 1000
-# A worker's labels are its kind, then its rack.
-_RACK_LABEL: t.Final = 1
+# A worker's id is sent to it in a header: printable ASCII without spaces.
+_WORKER_ID_PATTERN: t.Final = re.compile('[A-Za-z0-9][!-.0-~]{0,199}')
+# Raised for values that are not JSON, not of the expected type, not UTF-8, or
+# nested too deeply.
+_DECODE_ERRORS: t.Final = (msgspec.DecodeError, ValueError, RecursionError)
+# About 100 bytes each.
+_MAX_LOGGED_REASONS: t.Final = 1000
+# The first label is the kind of the worker, the second its rack.
+_RACK_LABEL_INDEX: t.Final = 1
 
 _config_decoder = msgspec.json.Decoder(ConfigBody)
 _worker_decoder = msgspec.json.Decoder(WorkerBody)
 
 
-def decode_room(body: RoomBody) -> Resources:
-    """Return a worker's room."""
+def decode_capacity(body: RoomBody) -> Resources:
+    """Convert a worker's capacity."""
     return Resources(body.cpu, body.memory_mb, body.gpus)
 
 
@@ -61,7 +61,13 @@
 
 
 def decode_configuration(value: bytes) -> Configuration:
-    """Return the configuration in the product's own types."""
+    """Decode the operators' configuration.
+
+    Raises
+    ------
+    msgspec.DecodeError, ValueError, RecursionError
+        If it can't be decoded.
+    """
     body = _config_decoder.decode(value)
     return Configuration(
         version=body.version,
@@ -76,54 +82,60 @@
 
 
 def decode_worker(worker_id: str, value: bytes) -> WorkerEntry:
-    """Return a worker's entry."""
+    """Decode a worker's entry of the worker list.
+
+    Raises
+    ------
+    msgspec.DecodeError, ValueError, RecursionError
+        If it can't be decoded.
+    """
     body = _worker_decoder.decode(value)
     host = body.address.rpartition(':')[0]
     if host.startswith('['):
-        # Raises where the brackets hold no address.
+        # Raises ValueError if the brackets don't hold an IPv6 address.
         ipaddress.IPv6Address(host[1:-1])
     return WorkerEntry(
         worker_id=worker_id,
         service=body.service,
         address=body.address,
         failure_domain=body.zone,
-        capacity=decode_room(body.room),
+        capacity=decode_capacity(body.room),
         labels=body.labels,
         draining=body.state != _READY,
         leaves_in_ms=max(0, int(body.remaining_ms)),
         clock_ms=body.clock_ms,
         machine=body.machine,
-        rack=body.labels[_RACK_LABEL] if len(body.labels) > 1 else '',
+        rack=body.labels[_RACK_LABEL_INDEX] if len(body.labels) > 1 else '',
     )
 
 
 @attrs.frozen
 class PlatformFeeds:
-    """Both feeds, read from the store; see ``Feeds``.
+    """Implementation of the ``Feeds`` port on the platform's store.
 
-    An entry of the list that can't be read names no worker: it counts as
-    one that was removed, until it can be read again.
+    An entry of the worker list that can't be decoded counts as removed until
+    it can be decoded again.
     """
 
     store: RowStore
-    # Why entries can't be read, as told in the log: a worker writes its
-    # entry every second, and its fault is told when it changes.
-    _told: dict[str, str] = attrs.field(factory=dict, init=False)
+    # The last logged reason of each invalid entry. A worker writes its entry
+    # every second; only a changed reason is logged again.
+    _logged_reasons: dict[str, str] = attrs.field(factory=dict, init=False)
 
     async def read_configuration(self) -> tuple[Configuration | None, int]:
-        """Return the configuration, if any, and the store's version."""
+        """Return the configuration, if any, and the version of the store."""
         page = await self.store.read_rows(_OPERATOR_TABLE, '')
         return _find_configuration(page.rows), page.version
 
     async def follow_configuration(
         self, after: int, wait_ms: int
     ) -> tuple[Configuration | None, int]:
-        """Return a newer configuration once there is one."""
+        """Wait for a newer configuration; return it and the new version."""
         page = await self.store.follow(_OPERATOR_TABLE, after, wait_ms)
         return _find_configuration(page.rows), page.version
 
     async def read_workers(self) -> tuple[tuple[WorkerEntry, ...], int]:
-        """Return every worker on the list and the store's version."""
+        """Return all listed workers and the version of the store."""
         page = await self.store.read_rows(_WORKERS_TABLE, '')
         changed, _ = self._split_workers(page.rows)
         return changed, page.version
@@ -131,7 +143,7 @@
     async def follow_workers(
         self, after: int
     ) -> tuple[tuple[WorkerEntry, ...], tuple[str, ...], int]:
-        """Return workers changed and workers gone since a version."""
+        """Return changed workers, removed worker ids and the new version."""
         page = await self.store.follow(_WORKERS_TABLE, after, 0)
         changed, gone = self._split_workers(page.rows)
         return changed, gone, page.version
@@ -139,13 +151,13 @@
     def _split_workers(
         self, rows: t.Iterable[StoredRow]
     ) -> tuple[tuple[WorkerEntry, ...], tuple[str, ...]]:
-        """Return the newest entry of each worker, and those without one."""
+        """Return the newest entry of each worker, and ids without an entry."""
         changed: dict[str, WorkerEntry] = {}
         gone: set[str] = set()
         for row in rows:
             worker_id = _find_worker_id(row)
             if worker_id is None:
-                self._tell(row.key, 'not the key of a worker')
+                self._log_invalid(row.key, 'key is not a worker id')
                 continue
             entry = self._read_entry(worker_id, row)
             if entry is None:
@@ -157,33 +169,33 @@
         return tuple(changed.values()), tuple(sorted(gone))
 
     def _read_entry(self, worker_id: str, row: StoredRow) -> WorkerEntry | None:
-        """Return a worker's entry; nothing if it is gone or unreadable."""
+        """Return a worker's entry, or None if it is removed or invalid."""
         if row.value is None:
-            self._told.pop(row.key, None)
+            self._logged_reasons.pop(row.key, None)
             return None
         try:
             entry = decode_worker(worker_id, row.value)
-        except _UNREADABLE as error:
-            self._tell(row.key, str(error))
+        except _DECODE_ERRORS as error:
+            self._log_invalid(row.key, str(error))
             return None
-        if self._told.pop(row.key, None) is not None:
+        if self._logged_reasons.pop(row.key, None) is not None:
             logger.info('worker entry readable again', worker=worker_id)
         return entry
 
-    def _tell(self, key: str, reason: str) -> None:
-        """Log why an entry is passed over, unless that is known."""
-        if self._told.get(key) == reason:
+    def _log_invalid(self, key: str, reason: str) -> None:
+        """Log why an entry is skipped, unless the same reason was logged."""
+        if self._logged_reasons.get(key) == reason:
             return
-        if len(self._told) >= _TOLD_KEPT:
-            self._told.pop(next(iter(self._told)))
-        self._told[key] = reason
+        if len(self._logged_reasons) >= _MAX_LOGGED_REASONS:
+            self._logged_reasons.pop(next(iter(self._logged_reasons)))
+        self._logged_reasons[key] = reason
         logger.error('worker entry unreadable', key=key, reason=reason)
 
 
 def _find_worker_id(row: StoredRow) -> str | None:
-    """Return whose entry a row is; nothing if it is no worker's."""
+    """Return the worker id of a row, or None if its key holds no valid id."""
     worker_id = row.key.removeprefix(_WORKERS_PREFIX)
-    if row.part or not _WORKER_ID.fullmatch(worker_id):
+    if row.part or not _WORKER_ID_PATTERN.fullmatch(worker_id):
         return None
     return worker_id
 
@@ -191,16 +203,17 @@
 def _find_configuration(
     rows: t.Iterable[StoredRow],
 ) -> Configuration | None:
+    """Return the newest valid configuration among the rows, if any."""
     newest = None
     for row in rows:
-        if row.part or row.key not in {_CONFIG_KEY, _CONFIG_KEY_FULL}:
+        if row.part or row.key not in {_CONFIG_KEY, _FULL_CONFIG_KEY}:
             continue
         if row.value is None:
             continue
         try:
             newest = decode_configuration(row.value)
-        except _UNREADABLE as error:
-            # The last good one stays in force.
+        except _DECODE_ERRORS as error:
+            # The last valid configuration stays in force.
             logger.error(
                 'configuration unreadable',
                 version=row.version,
--- a/src/tulippin/platform/store.py
+++ b/src/tulippin/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: one client for rows, feeds and transactions."""
+"""Client of the platform's store: rows, change feeds and transactions."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from tulippin.platform.wire import RowBody, RowsBody, TransactionBody
 
 _OK: t.Final = 200
-_CONFLICT: t.Final = 412
+_CONDITION_FAILED: t.Final = 412
 _GONE: t.Final = 410
-# The store says by these that it did nothing.
-_REFUSALS: t.Final = frozenset((429, 503))
-# The most rows that one reading returns.
-_PAGE_ROWS: t.Final = 500
-# No record, entry or configuration is empty.
-_UNREADABLE: t.Final = b''
+# Statuses by which the store says that it changed nothing.
+_REJECTED_STATUSES: t.Final = frozenset((429, 503))
+_MAX_PAGE_ROWS: t.Final = 500
+# Replaces a value that is not base64; it is distinct from all valid values,
+# as no record, entry or configuration is empty.
+_INVALID_VALUE: t.Final = b''
 
 _rows_decoder = msgspec.json.Decoder(RowsBody)
 
 
 def decode_row(body: RowBody) -> StoredRow:
-    """Return a row in the product's own form.
+    """Convert a row of the store.
 
-    A value that is no base64 becomes an empty one: the row is there, with
-    its version, and whoever reads it finds nothing that it could use.
+    A value that is not valid base64 becomes empty: the row keeps its key and
+    version, and its readers reject the value.
     """
     value = None if body.gone else _decode_value(body.value)
     return StoredRow(body.table, body.part, body.key, value, body.version)
@@ -47,7 +47,7 @@
     try:
         return base64.b64decode(text, validate=True)
     except (TypeError, ValueError):
-        return _UNREADABLE
+        return _INVALID_VALUE
 
 
 def _encode_transaction(transaction: Transaction) -> bytes:
@@ -84,7 +84,7 @@
 
 @attrs.define
 class PlatformStore:
-    """The store at an address; see ``RowStore``."""
+    """Implementation of the ``RowStore`` port over HTTP."""
 
     address: str
     client: HttpClient
@@ -92,23 +92,30 @@
     async def read_rows(
         self, table: str, part: str, first: str = '', end: str = ''
     ) -> RowPage:
-        """Return the rows from ``first`` on, page by page."""
+        """Read all rows with ``first <= key < end``, page by page.
+
+        Returns
+        -------
+        RowPage
+            The rows, and the store's version as of the first page.
+        """
         rows: list[StoredRow] = []
         version: int | None = None
         while True:
             page = await self._get_page(table, part, first, end)
             rows.extend(decode_row(body) for body in page.rows)
             if version is None:
-                # Later pages do not tell what came on the first one since.
+                # Later pages don't show changes made since to rows of the
+                # first page; a feed from its version does.
                 version = page.version
             if not page.more:
                 return RowPage(tuple(rows), version)
             if not page.rows:
-                raise AnswerLostError('the store answers a page of nothing')
+                raise AnswerLostError('the store sent an empty page')
             if page.rows[-1].key < first:
-                # Asked for what follows, it would tell the same for ever.
-                raise AnswerLostError('the store answers a page twice')
-            # The smallest key above the last one.
+                # A request for the next page would return this one forever.
+                raise AnswerLostError('the store sent a page twice')
+            # The smallest key above the last key of this page.
             first = f'{page.rows[-1].key}\0'
 
     async def _get_page(
@@ -119,12 +126,18 @@
             fields['From'] = first
         if end:
             fields['TargetVersion'] = end
-        fields['limit'] = _PAGE_ROWS
+        fields['limit'] = _MAX_PAGE_ROWS
         answer = await self._send('GET', f'/v1/rows-get?{urlencode(fields)}')
-        return _decode_rows(_demand_ok(answer))
+        return _decode_rows(_require_ok(answer))
 
     async def follow(self, table: str, after: int, wait_ms: int) -> RowPage:
-        """Return the changes of a table after a version."""
+        """Return the changes of a table after a version.
+
+        Raises
+        ------
+        HistoryLostError
+            If the store no longer holds the changes from that version on.
+        """
         query = urlencode(
             {'table': table, 'AfterRevision': after, 'WaitMs': wait_ms}
         )
@@ -133,20 +146,27 @@
         )
         if answer.status == _GONE:
             raise HistoryLostError(f'{table} has no history from {after} on')
-        page = _decode_rows(_demand_ok(answer))
+        page = _decode_rows(_require_ok(answer))
         rows = tuple(decode_row(body) for body in page.rows)
         return RowPage(rows, page.version)
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Carry out a transaction."""
+        """Commit a transaction if its conditions hold.
+
+        Returns
+        -------
+        TransactionResult
+            Whether it was committed, the store's version, and the rows that
+            its conditions met if it was not.
+        """
         answer = await self._send(
             'POST', '/v1/rows-tx', _encode_transaction(transaction)
         )
-        if answer.status == _CONFLICT:
+        if answer.status == _CONDITION_FAILED:
             page = _decode_rows(answer)
             rows = tuple(decode_row(body) for body in page.rows)
             return TransactionResult(False, page.version, rows)
-        page = _decode_rows(_demand_ok(answer))
+        page = _decode_rows(_require_ok(answer))
         return TransactionResult(True, page.version)
 
     async def _send(
@@ -162,15 +182,18 @@
             body,
             extra_wait_ms=extra_wait_ms,
         )
-        if answer.status in _REFUSALS:
-            raise UnavailableError(f'the store refuses ({answer.status})')
+        if answer.status in _REJECTED_STATUSES:
+            raise UnavailableError(
+                f'the store rejected the request with status {answer.status}'
+            )
         return answer
 
 
-def _demand_ok(answer: HttpAnswer) -> HttpAnswer:
+def _require_ok(answer: HttpAnswer) -> HttpAnswer:
+    """Return the answer if its status is 200; raise otherwise."""
     if answer.status != _OK:
         raise AnswerLostError(
-            f'the store answers {answer.status}: {answer.body[:200]!r}'
+            f'the store returned status {answer.status}: {answer.body[:200]!r}'
         )
     return answer
 
@@ -179,4 +202,6 @@
     try:
         return _rows_decoder.decode(answer.body)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise AnswerLostError(f'the store answers nonsense: {error}') from error
+        raise AnswerLostError(
+            f'invalid response from the store: {error}'
+        ) from error
--- a/src/tulippin/platform/wire.py
+++ b/src/tulippin/platform/wire.py
@@ -1,4 +1,4 @@
-"""Bodies as the platform spells them."""
+"""Message bodies under the platform's own field names."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 import msgspec
 
 RunningRow: t.TypeAlias = tuple[t.Any, ...]
-# Far above any clock and any count, with room for what is added to it: a
-# number of more than 4300 digits can't even be written.
+# Above any clock and any count, and small enough that sums stay printable:
+# Python refuses to convert integers of more than 4300 digits to text.
 _Count: t.TypeAlias = t.Annotated[int, msgspec.Meta(ge=-(2**62), lt=2**62)]
 EndedRow: t.TypeAlias = tuple[_Count, str, _Count, str, str]
 
-# Far above any machine, and far below what sums over all workers may reach.
+# Above the capacity of any machine; sums over all workers don't overflow.
 _Amount: t.TypeAlias = t.Annotated[int, msgspec.Meta(ge=1, le=10**9)]
-_AmountOrNone: t.TypeAlias = t.Annotated[int, msgspec.Meta(ge=0, le=10**6)]
+_OptionalAmount: t.TypeAlias = t.Annotated[int, msgspec.Meta(ge=0, le=10**6)]
 _Name: t.TypeAlias = t.Annotated[str, msgspec.Meta(min_length=1)]
-# A host's name or an IPv6 address in brackets, and a port.
+# A host name or an IPv6 address in brackets, and a port.
 ADDRESS_PATTERN: t.Final = (
     r'^([A-Za-z0-9_-]{1,63}(\.[A-Za-z0-9_-]{1,63}){0,9}|'
     r'\[[0-9A-Fa-f:.]{2,45}\]):'
@@ -24,38 +24,38 @@
     r'|[1-5][0-9]{4}|[1-9][0-9]{0,3})\Z'
 )
 _Address: t.TypeAlias = t.Annotated[str, msgspec.Meta(pattern=ADDRESS_PATTERN)]
-# Above any of these no newer configuration would ever come.
+# A larger version would block all later configurations.
 _Version: t.TypeAlias = t.Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
-# The states that the platform names; an entry with another one is foreign.
+# An entry with any other state is invalid.
 _WorkerState: t.TypeAlias = t.Literal['ready', 'draining']
 
 
 class RoomBody(msgspec.Struct, frozen=True):
-    """What a worker holds: thousandths of a core, MiB, whole GPUs."""
+    """Capacity of a worker: millicores, MiB and whole GPUs."""
 
     cpu: _Amount = msgspec.field(name='Cpu')
     memory_mb: _Amount = msgspec.field(name='MemMb')
-    gpus: _AmountOrNone = msgspec.field(name='Gpus', default=0)
+    gpus: _OptionalAmount = msgspec.field(name='Gpus', default=0)
 
 
 class StepBody(msgspec.Struct, frozen=True):
-    """A step of a job; what is zero, false or empty may be left out."""
+    """Step of a job; fields that are zero, false or empty may be omitted."""
 
     count: int = msgspec.field(name='Count')
     cpu: int = msgspec.field(name='Cpu', default=0)
     memory_mb: int = msgspec.field(name='MemMb', default=0)
     gpus: int = msgspec.field(name='Gpus', default=0)
     estimated_ms: float = msgspec.field(name='EstimatedMs', default=0)
-    # Numbers of earlier steps, not a revision of anything.
+    # Indexes of the earlier steps that it depends on.
     after: tuple[int, ...] = msgspec.field(name='AfterRevision', default=())
     checkpointing: bool = msgspec.field(name='Checkpointing', default=False)
     gang: bool = msgspec.field(name='Gang', default=False)
     same_rack: bool = msgspec.field(name='SameRack', default=False)
-    # One label.
+    # One label that its workers must have.
     requirements: str = msgspec.field(name='Requirements', default='')
-    # The rack where the data lies.
+    # The rack that holds its data.
     affinity: str = msgspec.field(name='Affinity', default='')
-    # The most tasks of the step on one worker.
+    # Maximum number of tasks of the step on one worker; 0 means no limit.
     anti_affinity: int = msgspec.field(name='AntiAffinity', default=0)
     allow_duplicates: bool = msgspec.field(
         name='AllowDuplicates', default=False
@@ -68,7 +68,7 @@
 
 
 class JobBody(msgspec.Struct, frozen=True):
-    """A job as a caller sends it."""
+    """Job request of a caller."""
 
     spec: str = msgspec.field(name='Spec')
     steps: tuple[StepBody, ...] = msgspec.field(name='Steps')
@@ -78,25 +78,25 @@
 
 
 class StateBody(msgspec.Struct, frozen=True):
-    """A job's state."""
+    """State of a job, as returned to a caller."""
 
     state: str = msgspec.field(name='State')
 
 
 class WaitingBody(msgspec.Struct, frozen=True):
-    """How many of a queue's jobs wait."""
+    """Number of waiting jobs of a queue."""
 
     waiting: int = msgspec.field(name='WaitingCount')
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Why a call was refused."""
+    """Reason for which a request failed."""
 
     error: str = msgspec.field(name='Error')
 
 
 class RouteBody(msgspec.Struct, frozen=True):
-    """A queue of the configuration."""
+    """Queue in the configuration."""
 
     name: str = msgspec.field(name='Name')
     host: str = msgspec.field(name='Host')
@@ -110,7 +110,7 @@
 
 
 class ServiceBody(msgspec.Struct, frozen=True):
-    """A pool of workers."""
+    """Pool of workers in the configuration."""
 
     name: str = msgspec.field(name='Name')
     enforces_capacity: bool = msgspec.field(
@@ -120,14 +120,14 @@
 
 
 class LimitsBody(msgspec.Struct, frozen=True):
-    """Limits on what callers send."""
+    """Size limits of callers' requests."""
 
     body_bytes: int = msgspec.field(name='MaxBodyBytes', default=262144)
     header_bytes: int = msgspec.field(name='MaxHeaderBytes', default=65536)
 
 
 class ConfigBody(msgspec.Struct, frozen=True):
-    """The operators' configuration in full."""
+    """The operators' configuration."""
 
     version: _Version = msgspec.field(name='Version')
     routes: tuple[RouteBody, ...] = msgspec.field(name='Routes', default=())
@@ -138,10 +138,10 @@
 
 
 class WorkerBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's own entry in the list.
+    """Entry that a worker writes into the worker list.
 
-    Every worker writes all fields without a default, also those that are
-    not used here: an entry that lacks one is not a worker's.
+    Fields without a default are mandatory, also those that are not used here:
+    an entry without one of them was not written by a worker.
     """
 
     service: _Name = msgspec.field(name='Service')
@@ -153,18 +153,18 @@
     cold_remaining_ms: float = msgspec.field(name='ColdRemainingMs')
     sequence: int = msgspec.field(name='Sequence')
     room: RoomBody = msgspec.field(name='Capacity')
-    # Its kind, then its rack.
+    # The kind of the worker, then its rack.
     labels: t.Annotated[tuple[str, ...], msgspec.Meta(min_length=1)] = (
         msgspec.field(name='Labels')
     )
     clock_ms: int = msgspec.field(name='ClockMs', default=0)
-    # The least time until a draining worker goes.
+    # Minimum time until a draining worker leaves.
     remaining_ms: float = msgspec.field(name='RemainingMs', default=0)
     machine: str = ''
 
 
 class RowBody(msgspec.Struct, frozen=True):
-    """A row of the store; the value is in base64 if it is the store's."""
+    """Row of the store; a valid value is base64 text."""
 
     table: str = ''
     part: str = ''
@@ -175,7 +175,7 @@
 
 
 class RowsBody(msgspec.Struct, frozen=True):
-    """Rows, and the store's newest version."""
+    """Page of rows, and the current version of the store."""
 
     rows: tuple[RowBody, ...] = ()
     more: bool = False
@@ -184,9 +184,9 @@
 
 
 class TransactionBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A transaction."""
+    """Conditional write of several rows of one part."""
 
-    # Rows with the versions that they must have.
+    # Rows with their required versions.
     expected: tuple[dict[str, t.Any], ...] = msgspec.field(
         name='ExpectedRevision', default=()
     )
@@ -197,7 +197,7 @@
 
 
 class StartBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An order to start a run."""
+    """Order to a worker to start a run."""
 
     task: str = msgspec.field(name='Task')
     run: int = msgspec.field(name='Run')
@@ -209,7 +209,7 @@
 
 
 class StopBody(msgspec.Struct, frozen=True):
-    """An order to stop a run."""
+    """Order to a worker to stop a run."""
 
     task: str = msgspec.field(name='Task')
     run: int = msgspec.field(name='Run')
@@ -217,7 +217,7 @@
 
 
 class PaceBody(msgspec.Struct, frozen=True):
-    """An order to let a run work at a share of its speed."""
+    """Order to a worker to limit a run to a share of its speed."""
 
     task: str = msgspec.field(name='Task')
     run: int = msgspec.field(name='Run')
@@ -226,38 +226,38 @@
 
 
 class HoldBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Extends a worker's lease and asks what it runs."""
+    """Request that extends a worker's lease and returns its report."""
 
     fencing_token: int = msgspec.field(name='FencingToken')
-    # Ends up to this number are taken note of, and may be forgotten.
+    # Ended runs up to this number are acknowledged; the worker may drop them.
     last_seen: int = msgspec.field(name='LastSeen', default=0)
     deadline_ms: int | None = msgspec.field(name='DeadlineMs', default=None)
     wait_ms: int = msgspec.field(name='WaitMs', default=0)
 
 
 class QuestionBody(msgspec.Struct, frozen=True):
-    """Asks which of some workers may run a step."""
+    """Request to the advice service: which workers may run a step."""
 
     step: str = msgspec.field(name='Step')
-    # Ids of workers.
+    # Worker ids.
     workers: t.Sequence[str] = msgspec.field(name='Workers')
 
 
 class AdviceBody(msgspec.Struct, frozen=True):
-    """Rows of worker and ticket, for those that may."""
+    """Response of the advice service: pairs of worker id and ticket."""
 
     good: tuple[tuple[str, str], ...] = ()
     valid_ms: int = 0
 
 
 class WorkerAnswerBody(msgspec.Struct, frozen=True):
-    """A worker's answer to any order."""
+    """Response of a worker to any request."""
 
     clock_ms: _Count | None = msgspec.field(name='ClockMs', default=None)
     reason: str = msgspec.field(name='Reason', default='')
-    # Rows, not a count: task, run, checkpoint, percent, load.
+    # Rows of task, run, checkpoint, progress percent and load.
     running: tuple[RunningRow, ...] = msgspec.field(
         name='RunningCount', default=()
     )
-    # Rows, not a time: number, task, run, how, checkpoint.
+    # Rows of number, task, run, outcome and checkpoint.
     ended: tuple[EndedRow, ...] = msgspec.field(name='EndedAt', default=())
--- a/src/tulippin/platform/workers.py
+++ b/src/tulippin/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to the agents on the platform's workers."""
+"""Client of the agents on the platform's workers."""
 
 from __future__ import annotations
 
@@ -38,58 +38,59 @@
 
 _OK: t.Final = 200
 _CONFLICT: t.Final = 409
-_OTHER_LIFE: t.Final = 421
-_UNHEALTHY: t.Final = frozenset((429, 503))
-_FENCE: t.Final = 'fence'
-_REASONS: t.Final = {
-    _FENCE: StartOutcome.FENCED,
+_OTHER_INCARNATION: t.Final = 421
+_UNHEALTHY_STATUSES: t.Final = frozenset((429, 503))
+_FENCED_REASON: t.Final = 'fence'
+_OUTCOMES_BY_REASON: t.Final = {
+    _FENCED_REASON: StartOutcome.FENCED,
     'old': StartOutcome.SUPERSEDED,
     'late': StartOutcome.TOO_LATE,
     'room': StartOutcome.NO_ROOM,
     'ticket': StartOutcome.NO_TICKET,
 }
-# A running row has a fifth entry only where tasks share processors.
+# Rows of running tasks have a fifth column only on workers where tasks share
+# processors.
 _LOAD_COLUMN: t.Final = 4
-# Above it there is no next run.
-_LARGEST_RUN: t.Final = 2**62
-# Far above any tail in ms and any use in millicores.
-_LARGEST_LOAD: t.Final = 1e9
-# Less than a thousandth of either is none: what is divided by it would leave
-# what a float holds.
-_LEAST_LOAD: t.Final = 1e-3
-# Of an unusable load, what a log line tells.
-_LOAD_SIGNS: t.Final = 40
+# Bounds run numbers, so that the next number stays encodable.
+_MAX_RUN_NUMBER: t.Final = 2**62
+# Above any tail latency in ms and any use in millicores.
+_MAX_LOAD: t.Final = 1e9
+# Smaller loads count as 0: a quotient by them could overflow a float.
+_MIN_LOAD: t.Final = 1e-3
+_MAX_LOGGED_LOAD_CHARS: t.Final = 40
 _FULL_PERCENT: t.Final = 100
-_LIFE_HEADER: t.Final = 'Expected-Instance'
-_ADDRESS: t.Final = re.compile(ADDRESS_PATTERN)
+_INCARNATION_HEADER: t.Final = 'Expected-Instance'
+_ADDRESS_REGEX: t.Final = re.compile(ADDRESS_PATTERN)
 
 _answer_decoder = msgspec.json.Decoder(WorkerAnswerBody)
 
 
 class PlatformWorkers:
-    """Every worker's agent, each over a pool of its own.
+    """Implementation of the ``WorkerAgents`` port over HTTP.
+
+    Each worker has a connection pool of its own.
 
     Parameters
     ----------
     make_client : callable
-        Makes the pool for one worker; it lives as long as the worker.
+        Creates the connection pool of a worker, kept until `forget`.
     """
 
     def __init__(self, make_client: t.Callable[[], HttpClient]) -> None:
         self._make_client = make_client
         self._clients: dict[str, HttpClient] = {}
-        # Workers whose newest report has an unusable load.
-        self._odd: set[str] = set()
+        # Workers whose last report had an invalid load.
+        self._invalid_load_workers: set[str] = set()
 
     async def forget(self, worker_id: str) -> None:
-        """Close the connections to a worker that is gone."""
-        self._odd.discard(worker_id)
+        """Close the connections to a worker that was removed."""
+        self._invalid_load_workers.discard(worker_id)
         client = self._clients.pop(worker_id, None)
         if client is not None:
             await client.close()
 
     async def start(self, order: StartOrder) -> OrderAnswer:
-        """Start a run."""
+        """Send an order to start a run; return its outcome."""
         body = StartBody(
             order.key.format(),
             order.run,
@@ -99,7 +100,7 @@
             order.checkpoint,
             order.ticket,
         )
-        return await self._order(
+        return await self._send_order(
             order.worker_id, order.address, '/v1/run-start', body
         )
 
@@ -111,9 +112,9 @@
         run: int,
         fencing_token: int,
     ) -> OrderAnswer:
-        """Stop a run; one that is not there yet will be refused."""
+        """Stop a run; the worker rejects a later start of the same run."""
         body = StopBody(key.format(), run, fencing_token)
-        return await self._order(worker_id, address, '/v1/run-stop', body)
+        return await self._send_order(worker_id, address, '/v1/run-stop', body)
 
     async def pace(
         self,
@@ -124,9 +125,9 @@
         percent: int,
         fencing_token: int,
     ) -> OrderAnswer:
-        """Let a run work at a share of its speed."""
+        """Limit a run to a share of its speed."""
         body = PaceBody(key.format(), run, percent, fencing_token)
-        return await self._order(worker_id, address, '/v1/pace', body)
+        return await self._send_order(worker_id, address, '/v1/pace', body)
 
     async def hold(
         self,
@@ -137,31 +138,46 @@
         deadline_ms: int | None,
         wait_ms: int,
     ) -> WorkerReport:
-        """Extend the worker's lease and return its report."""
+        """Extend the worker's lease and return its report.
+
+        Raises
+        ------
+        WorkerChangedError
+            If another incarnation of the worker's agent is at the address.
+        FencedOrderError
+            If the worker has received a higher fencing token.
+        UnavailableError
+            If the worker doesn't return a valid report.
+        """
         body = HoldBody(fencing_token, last_seen, deadline_ms, wait_ms)
         answer = await self._send(worker_id, address, '/v1/hold', body, wait_ms)
-        if answer.status == _OTHER_LIFE:
-            raise WorkerChangedError(f'{address} is another life now')
+        if answer.status == _OTHER_INCARNATION:
+            raise WorkerChangedError(
+                f'{address} has another incarnation of the worker'
+            )
         decoded = _decode(answer)
-        if answer.status == _CONFLICT and decoded.reason == _FENCE:
+        if answer.status == _CONFLICT and decoded.reason == _FENCED_REASON:
             raise FencedOrderError(f'{worker_id} has a newer owner')
         if answer.status != _OK or decoded.clock_ms is None:
-            raise UnavailableError(f'{worker_id} answers {answer.status}')
+            raise UnavailableError(
+                f'{worker_id} returned status {answer.status}'
+            )
         report = _decode_report(decoded.clock_ms, decoded)
-        self._note_odd(worker_id, _find_odd_load(decoded))
+        self._log_invalid_load(worker_id, _find_invalid_load(decoded))
         return report
 
-    def _note_odd(self, worker_id: str, load: str) -> None:
-        """Say that a worker tells an unusable load, unless that is known."""
+    def _log_invalid_load(self, worker_id: str, load: str) -> None:
+        """Log an invalid load, unless the last report had one as well."""
         if not load:
-            self._odd.discard(worker_id)
-        elif worker_id not in self._odd:
-            self._odd.add(worker_id)
+            self._invalid_load_workers.discard(worker_id)
+        elif worker_id not in self._invalid_load_workers:
+            self._invalid_load_workers.add(worker_id)
             logger.warning('load unusable', worker=worker_id, load=load)
 
-    async def _order(
+    async def _send_order(
         self, worker_id: str, address: str, path: str, body: msgspec.Struct
     ) -> OrderAnswer:
+        """Send an order; return whether it was carried out, if known."""
         try:
             answer = await self._send(worker_id, address, path, body)
         except AnswerLostError:
@@ -178,8 +194,8 @@
         body: msgspec.Struct,
         wait_ms: int = 0,
     ) -> HttpAnswer:
-        if not _ADDRESS.match(address):
-            raise UnavailableError(f'{worker_id} has no address')
+        if not _ADDRESS_REGEX.match(address):
+            raise UnavailableError(f'{worker_id} has no valid address')
         client = self._clients.get(worker_id)
         if client is None:
             client = self._clients[worker_id] = self._make_client()
@@ -187,7 +203,7 @@
             'POST',
             f'http://{address}{path}',
             msgspec.json.encode(body),
-            {_LIFE_HEADER: worker_id},
+            {_INCARNATION_HEADER: worker_id},
             extra_wait_ms=wait_ms,
         )
 
@@ -198,13 +214,15 @@
     try:
         return _answer_decoder.decode(answer.body)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise AnswerLostError(f'a worker answers nonsense: {error}') from error
+        raise AnswerLostError(
+            f'invalid response from a worker: {error}'
+        ) from error
 
 
 def _decode_order(answer: HttpAnswer) -> OrderAnswer:
-    if answer.status == _OTHER_LIFE:
+    if answer.status == _OTHER_INCARNATION:
         return OrderAnswer(StartOutcome.OTHER_LIFE)
-    if answer.status in _UNHEALTHY:
+    if answer.status in _UNHEALTHY_STATUSES:
         return OrderAnswer(StartOutcome.UNHEALTHY)
     try:
         decoded = _decode(answer)
@@ -213,7 +231,7 @@
     if answer.status == _OK:
         return OrderAnswer(StartOutcome.STARTED, decoded.clock_ms)
     if answer.status == _CONFLICT:
-        outcome = _REASONS.get(decoded.reason, StartOutcome.REJECTED)
+        outcome = _OUTCOMES_BY_REASON.get(decoded.reason, StartOutcome.REJECTED)
         return OrderAnswer(outcome, decoded.clock_ms)
     return OrderAnswer(StartOutcome.REJECTED, decoded.clock_ms)
 
@@ -223,20 +241,20 @@
         running = tuple(_decode_running(row) for row in body.running)
         ended = tuple(_decode_ended(row) for row in body.ended)
     except (TypeError, ValueError) as error:
-        raise AnswerLostError(f'a worker reports nonsense: {error}') from error
+        raise AnswerLostError(f'invalid report of a worker: {error}') from error
     return WorkerReport(clock_ms, running, ended)
 
 
 def _decode_running(row: RunningRow) -> RunningTask:
-    *rest, load = row if len(row) > _LOAD_COLUMN else (*row, None)
-    task, run, checkpoint, percent = rest
-    _demand(task, str)
-    _demand(run, int)
-    if abs(run) >= _LARGEST_RUN:
-        raise ValueError('a run has no number')
-    _demand(checkpoint, str)
-    _demand(percent, (int, float))
-    _demand(load, (int, float, type(None)))
+    *columns, load = row if len(row) > _LOAD_COLUMN else (*row, None)
+    task, run, checkpoint, percent = columns
+    _require_type(task, str)
+    _require_type(run, int)
+    if abs(run) >= _MAX_RUN_NUMBER:
+        raise ValueError('run number is out of range')
+    _require_type(checkpoint, str)
+    _require_type(percent, (int, float))
+    _require_type(load, (int, float, type(None)))
     return RunningTask(
         parse_task(task),
         run,
@@ -247,29 +265,31 @@
 
 
 def _decode_load(load: float | None) -> float | None:
-    """Return a load; nothing if it is not told, or is none of a worker.
+    """Return a load, or None if it is absent or out of range.
 
-    It advises only, so that the run counts as there all the same.
+    The load is advisory: a run with an invalid load still counts as running.
     """
-    if load is None or not 0 <= load <= _LARGEST_LOAD:
+    if load is None or not 0 <= load <= _MAX_LOAD:
         return None
-    return load if load >= _LEAST_LOAD else 0.0
+    return load if load >= _MIN_LOAD else 0.0
 
 
-def _find_odd_load(body: WorkerAnswerBody) -> str:
-    """Return the first load of a report that is none of a worker's."""
-    told = (row[_LOAD_COLUMN] for row in body.running if _tells_load(row))
-    odd = (load for load in told if _decode_load(load) is None)
-    return next((repr(load)[:_LOAD_SIGNS] for load in odd), '')
+def _find_invalid_load(body: WorkerAnswerBody) -> str:
+    """Return the first invalid load of a report, shortened for the log."""
+    reported = (row[_LOAD_COLUMN] for row in body.running if _has_load(row))
+    invalid = (load for load in reported if _decode_load(load) is None)
+    return next((repr(load)[:_MAX_LOGGED_LOAD_CHARS] for load in invalid), '')
 
 
-def _tells_load(row: RunningRow) -> bool:
+def _has_load(row: RunningRow) -> bool:
     return len(row) > _LOAD_COLUMN and row[_LOAD_COLUMN] is not None
 
 
-def _demand(value: t.Any, kinds: type | tuple[type, ...]) -> None:
-    if not isinstance(value, kinds):
-        raise TypeError(f'{value!r} in a row of what runs')
+def _require_type(value: t.Any, types: type | tuple[type, ...]) -> None:
+    if not isinstance(value, types):
+        raise TypeError(
+            f'unexpected value {value!r} in a row of a running task'
+        )
 
 
 def _decode_ended(row: EndedRow) -> EndedRun:
--- a/tests/tulippin/platform/test_caller_deadlines.py
+++ b/tests/tulippin/platform/test_caller_deadlines.py
@@ -104,7 +104,7 @@
 
     with logbook.TestHandler() as lines:
         run_virtual(run)
-    told = [one for one in lines.records if one.message == 'call given up']
+    told = [one for one in lines.records if one.message == 'call abandoned']
     assert [one.kwargs['job'] for one in told] == [JOB]
 
 
