--- a/src/tulippin/platform/advisor.py
+++ b/src/tulippin/platform/advisor.py
@@ -11,7 +11,7 @@
 from tulippin._http_client import HttpClient
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs.ports import Advice
-from tulippin.platform.wire import AdviceBody, QuestionBody
+from tulippin.platform.wire import AdviceBody, AdviceRequestBody
 
 _OK: t.Final = 200
 # Advice with a longer validity is requested again after this time: a ticket
@@ -42,7 +42,7 @@
             If its response is lost or can't be decoded.
         """
         job_id, occurrence, number = step
-        body = QuestionBody(f'{job_id}.{occurrence}.{number}', worker_ids)
+        body = AdviceRequestBody(f'{job_id}.{occurrence}.{number}', worker_ids)
         async with self._lock:
             answer = await self.client.send(
                 'POST',
--- a/src/tulippin/platform/callers.py
+++ b/src/tulippin/platform/callers.py
@@ -118,7 +118,7 @@
     _FieldRange('EstimatedMs', 'estimated_ms', 0, LONGEST_MS),
     _FieldRange('AntiAffinity', 'anti_affinity', 0, _MAX_COUNT_LIMIT),
     _FieldRange('target_ms', 'target_ms', 0, LONGEST_MS),
-    _FieldRange('may_miss', 'may_miss', 0, _MAX_COUNT_LIMIT),
+    _FieldRange('may_miss', 'max_unavailable', 0, _MAX_COUNT_LIMIT),
 )
 
 
@@ -212,8 +212,8 @@
         long_running=step.long_running,
         image=step.image,
         target_ms=_decode_time_ms(step.target_ms),
-        opportunistic=step.fills,
-        max_unavailable=step.may_miss,
+        opportunistic=step.opportunistic,
+        max_unavailable=step.max_unavailable,
     )
 
 
--- a/src/tulippin/platform/feeds.py
+++ b/src/tulippin/platform/feeds.py
@@ -99,7 +99,7 @@
         service=body.service,
         address=body.address,
         failure_domain=body.zone,
-        capacity=decode_capacity(body.room),
+        capacity=decode_capacity(body.capacity),
         labels=body.labels,
         draining=body.state != _READY,
         leaves_in_ms=max(0, int(body.remaining_ms)),
--- a/src/tulippin/platform/standin.py
+++ b/src/tulippin/platform/standin.py
@@ -1,8 +1,8 @@
-"""An in-memory stand-in of the platform: store, list and workers.
+"""In-memory stand-in of the platform: store, worker list and workers.
 
-It runs under virtual time and keeps a history of runs, which
-``check_history`` holds against what must never happen. It stands beside
-the wire types because it writes them.
+Tests and benchmarks run it in virtual time. It records a history of runs, in
+which ``check_history`` finds violations of the scheduler's guarantees. It is
+in this package because it encodes the platform's messages.
 """
 
 from __future__ import annotations
@@ -42,23 +42,23 @@
     'get_now_ms',
 )
 
-_WORKER_S: t.Final = 0.001
-_HEARTBEAT_S: t.Final = 1.1
-_ADVICE_S: t.Final = 0.03
-# An entry goes after three heartbeats of silence.
-_ENTRY_LAPSE_MS: t.Final = 3300
-# A task under which so many workers have crashed is started so many times
-# more at the most.
-_CRASHES: t.Final = 3
-_STARTS_AFTER: t.Final = 2
+_WORKER_LATENCY_S: t.Final = 0.001
+_HEARTBEAT_INTERVAL_S: t.Final = 1.1
+_ADVICE_LATENCY_S: t.Final = 0.03
+# An entry expires after three missed heartbeats.
+_ENTRY_EXPIRY_MS: t.Final = 3300
+# Once a task has crashed this many workers, it may be started only a limited
+# number of times more.
+_CRASH_LIMIT: t.Final = 3
+_MAX_STARTS_AFTER_CRASHES: t.Final = 2
 
 
 @attrs.define
 class StandinPlatform:
-    """Store, list and workers together; run ``serve`` in a nursery.
+    """The whole platform; run ``serve`` in a nursery.
 
-    A worker that has crashed is back ``back_after_ms`` later, if that is
-    told: as another life, at the same address.
+    A crashed worker restarts after ``back_after_ms``, unless that is None, as
+    another incarnation at the same address.
     """
 
     store: StandinStore = attrs.field(factory=StandinStore)
@@ -66,10 +66,10 @@
     history: list[RunEvent] = attrs.field(factory=list)
     sequence: int = 0
     back_after_ms: int | None = None
-    lives: int = 0
+    incarnation_count: int = 0
 
     def add_worker(self, worker_id: str, **options: t.Any) -> StandinWorker:
-        """Start a worker's life at an address of its own."""
+        """Start a worker, by default at an address of its own."""
         address = options.pop('address', f'10.9.0.{len(self.workers)}:80')
         worker = StandinWorker(worker_id, address, self.history, **options)
         self.workers[worker_id] = worker
@@ -77,60 +77,61 @@
         return worker
 
     def configure(self, body: ConfigBody) -> None:
-        """Write the operators' configuration."""
+        """Publish the operators' configuration."""
         self.store.write('op', '', 'config', msgspec.json.encode(body))
 
     def beat(self, worker: StandinWorker) -> None:
-        """Write a worker's entry on the list anew."""
+        """Write a worker's entry into the worker list."""
         self.sequence += 1
         body = worker.make_body(self.sequence)
         self.store.write('servers', '', worker.worker_id, body)
 
     def remove(self, worker_id: str) -> None:
-        """Take a worker off the list."""
+        """Remove a worker's entry from the worker list."""
         self.store.write('servers', '', worker_id, None)
 
     def drain(self, worker_id: str, leaves_in_ms: int) -> None:
-        """Let a worker say that it leaves, and leave after so long."""
+        """Announce that a worker is draining, and end it after a delay."""
         worker = self.workers[worker_id]
         worker.is_draining = True
         worker.leaves_at_ms = get_now_ms() + leaves_in_ms
         self.beat(worker)
 
     async def serve(self) -> None:
-        """Let time pass for workers and their list."""
-        beat_at = 0.0
+        """Advance the workers and publish their heartbeats."""
+        next_heartbeat_s = 0.0
         while True:
             for worker in list(self.workers.values()):
                 if worker.is_up:
                     worker.tick()
-                    self._let_leave(worker)
+                    self._end_drained(worker)
                 elif worker.crashed_ms is not None:
-                    self._follow_crash(worker)
-            if trio.current_time() >= beat_at:
-                self._beat_all()
-                beat_at = trio.current_time() + _HEARTBEAT_S
+                    self._recover_crashed(worker)
+            if trio.current_time() >= next_heartbeat_s:
+                self._publish_entries()
+                next_heartbeat_s = trio.current_time() + _HEARTBEAT_INTERVAL_S
             await trio.sleep(0.01)
 
-    def _let_leave(self, worker: StandinWorker) -> None:
+    def _end_drained(self, worker: StandinWorker) -> None:
+        """End a draining worker once its time is over."""
         leaves_at_ms = worker.leaves_at_ms
         if leaves_at_ms is not None and get_now_ms() >= leaves_at_ms:
             worker.crash()
             self.remove(worker.worker_id)
 
-    def _follow_crash(self, worker: StandinWorker) -> None:
-        """Let a crashed worker's entry lapse, and its next life begin."""
+    def _recover_crashed(self, worker: StandinWorker) -> None:
+        """Expire the entry of a crashed worker, and restart the worker."""
         if self.back_after_ms is None or worker.leaves_at_ms is not None:
             return
-        silent_ms = get_now_ms() - worker.crashed_ms
-        if silent_ms >= _ENTRY_LAPSE_MS and not worker.is_off_list:
-            worker.is_off_list = True
+        down_ms = get_now_ms() - worker.crashed_ms
+        if down_ms >= _ENTRY_EXPIRY_MS and not worker.is_entry_removed:
+            worker.is_entry_removed = True
             self.remove(worker.worker_id)
-        if silent_ms >= self.back_after_ms and not worker.is_succeeded:
-            worker.is_succeeded = True
-            self.lives += 1
+        if down_ms >= self.back_after_ms and not worker.is_restarted:
+            worker.is_restarted = True
+            self.incarnation_count += 1
             self.add_worker(
-                f'{worker.worker_id.partition("+")[0]}+{self.lives}',
+                f'{worker.worker_id.partition("+")[0]}+{self.incarnation_count}',
                 address=worker.address,
                 service=worker.service,
                 room=worker.room,
@@ -138,48 +139,49 @@
                 clock_offset_ms=worker.clock_offset_ms,
             )
 
-    def _beat_all(self) -> None:
+    def _publish_entries(self) -> None:
         for worker in self.workers.values():
-            if worker.is_up and worker.tells_entry:
+            if worker.is_up and worker.publishes_entry:
                 self.beat(worker)
 
     def lapse_entries(self) -> None:
-        """Let all entries lapse while their workers live and answer on."""
+        """Expire all entries while their workers go on working."""
         for worker in self.workers.values():
-            worker.tells_entry = False
+            worker.publishes_entry = False
             self.remove(worker.worker_id)
 
     def restore_entries(self) -> None:
-        """Have all workers write their entries again."""
+        """Resume the heartbeats after ``lapse_entries``."""
         for worker in self.workers.values():
-            worker.tells_entry = True
+            worker.publishes_entry = True
 
     def get_agents(self, client: str) -> StandinAgents:
-        """Return the workers as one client reaches them."""
+        """Return the workers as seen by a client."""
         return StandinAgents(self, client)
 
 
 @attrs.frozen
 class StandinAgents:
-    """The workers as one client reaches them; see ``WorkerAgents``."""
+    """The workers as seen by one client; implements ``WorkerAgents``."""
 
     platform: StandinPlatform
     client: str
 
     async def _reach(self, address: str) -> StandinWorker:
-        await trio.sleep(_WORKER_S)
+        """Return the reachable worker at an address, or time out."""
+        await trio.sleep(_WORKER_LATENCY_S)
         for worker in self.platform.workers.values():
             is_cut = worker.cut_off & {self.client, '*'}
             if worker.address == address and worker.is_up and not is_cut:
                 return worker
         await trio.sleep(SILENCE_S)
-        raise AnswerLostError(f'{address} is silent')
+        raise AnswerLostError(f'{address} does not answer')
 
     async def forget(self, worker_id: str) -> None:
-        """Nothing is kept open here."""
+        """Do nothing: no connections are kept."""
 
     async def start(self, order: StartOrder) -> OrderAnswer:
-        """Start a run, or late and unanswered."""
+        """Start a run; a late start is carried out without an answer."""
         try:
             worker = await self._reach(order.address)
         except UnavailableError:
@@ -232,19 +234,19 @@
         deadline_ms: int | None,
         wait_ms: int,
     ) -> WorkerReport:
-        """Extend a lease and read the report."""
+        """Extend a lease and return the worker's report."""
         worker = await self._reach(address)
         report = await worker.take_hold(
             worker_id, fencing_token, last_seen, deadline_ms, wait_ms
         )
         if not worker.is_up or worker.cut_off & {self.client, '*'}:
-            raise AnswerLostError(f'{address} went silent')
+            raise AnswerLostError(f'{address} stopped answering')
         return report
 
 
 @attrs.define
 class StandinAdvisor:
-    """Lets a step run only on some workers; counts its questions."""
+    """Advice service that allows a set of workers; counts its requests."""
 
     allowed: set[str] = attrs.field(factory=set)
     valid_ms: int = 3000
@@ -253,61 +255,62 @@
     async def ask(
         self, step: tuple[str, int, int], worker_ids: t.Sequence[str]
     ) -> Advice:
-        """Answer with a ticket for each worker that may."""
+        """Return a ticket for each allowed worker."""
         self.question_count += 1
-        await trio.sleep(_ADVICE_S)
+        await trio.sleep(_ADVICE_LATENCY_S)
         good = self.allowed.intersection(worker_ids)
-        tickets = {one: f'{step[0]}-{one}' for one in good}
+        tickets = {worker_id: f'{step[0]}-{worker_id}' for worker_id in good}
         return Advice(tickets, self.valid_ms)
 
 
 async def _start_late(worker: StandinWorker, order: StartOrder) -> None:
+    """Carry out a start order after the worker's delay."""
     await trio.sleep(worker.late_orders_s)
     if worker.is_up:
         worker.take_start(order)
 
 
 def check_history(history: t.Iterable[RunEvent]) -> list[str]:
-    """Return what the history shows that must never happen.
+    """Return the violations of the scheduler's guarantees in a history.
 
-    Two runs of a task at once; a start after an end that was ``done``
-    and taken note of; a third start of a task after three workers have
-    crashed under it; a start that brings a worker over its room.
+    Violations are: two concurrent runs of a task; a start after a ``done``
+    run was acknowledged; a third start of a task after it has crashed three
+    workers; a start that exceeds a worker's capacity.
     """
-    present: dict[TaskKey, set[tuple[str, int]]] = collections.defaultdict(set)
-    noted: set[TaskKey] = set()
-    broken = []
+    running: dict[TaskKey, set[tuple[str, int]]] = collections.defaultdict(set)
+    acknowledged: set[TaskKey] = set()
+    violations = []
     history = list(history)
     for event in history:
-        place = (event.worker_id, event.run)
+        location = (event.worker_id, event.run)
         if event.kind == 'started':
-            if present[event.key]:
-                broken.append(f'twice: {event}')
-            if event.key in noted:
-                broken.append(f'after its end: {event}')
-            present[event.key].add(place)
+            if running[event.key]:
+                violations.append(f'twice: {event}')
+            if event.key in acknowledged:
+                violations.append(f'after its end: {event}')
+            running[event.key].add(location)
         elif event.kind == 'ended':
-            present[event.key].discard(place)
+            running[event.key].discard(location)
         elif event.kind == 'noted' and event.outcome is RunOutcome.DONE:
-            noted.add(event.key)
-    broken.extend(
+            acknowledged.add(event.key)
+    violations.extend(
         f'over its room: {event}'
         for event in history
         if event.kind == 'over_room'
     )
-    return broken + _check_crashes(history)
+    return violations + _check_crashes(history)
 
 
 def _check_crashes(history: list[RunEvent]) -> list[str]:
-    """Return the starts beyond those that crashes leave to their task."""
+    """Return the starts beyond the limit of tasks that crashed workers."""
     crashes: collections.Counter[TaskKey] = collections.Counter()
     starts_after: collections.Counter[TaskKey] = collections.Counter()
-    broken = []
+    violations = []
     for event in history:
         if event.kind == 'crashed':
             crashes[event.key] += 1
-        elif event.kind == 'started' and crashes[event.key] >= _CRASHES:
+        elif event.kind == 'started' and crashes[event.key] >= _CRASH_LIMIT:
             starts_after[event.key] += 1
-            if starts_after[event.key] > _STARTS_AFTER:
-                broken.append(f'over its budget: {event}')
-    return broken
+            if starts_after[event.key] > _MAX_STARTS_AFTER_CRASHES:
+                violations.append(f'over its budget: {event}')
+    return violations
--- a/src/tulippin/platform/standin_http.py
+++ b/src/tulippin/platform/standin_http.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in over HTTP, in the platform's own words."""
+"""HTTP servers for the in-memory stand-in, with the platform's protocol."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     WorkerAnswerBody,
 )
 
-_REASONS: t.Final = {
+_REASONS_BY_OUTCOME: t.Final = {
     StartOutcome.FENCED: 'fence',
     StartOutcome.SUPERSEDED: 'old',
     StartOutcome.TOO_LATE: 'late',
@@ -52,7 +52,7 @@
 }
 
 
-def _answer(body: msgspec.Struct, status: int = 200) -> Response:
+def _respond(body: msgspec.Struct, status: int = 200) -> Response:
     return Response(msgspec.json.encode(body), status)
 
 
@@ -69,12 +69,12 @@
 
 @attrs.frozen
 class StoreApi:
-    """The store's calls, for one client named by a query's absence."""
+    """HTTP API of the store; all requests count as one client's."""
 
     platform: StandinPlatform
 
     def make_app(self) -> Starlette:
-        """Return the application."""
+        """Return the ASGI application."""
         return Starlette(
             routes=[
                 Route('/v1/rows-tx', self._transact, methods=['POST']),
@@ -109,7 +109,7 @@
         )
         result = self.platform.store.apply(transaction)
         status = 200 if result.is_done else 412
-        return _answer(_encode_rows(result.rows, result.version), status)
+        return _respond(_encode_rows(result.rows, result.version), status)
 
     async def _read_rows(self, request: Request) -> Response:
         query = request.query_params
@@ -120,7 +120,7 @@
             query.get('From', ''),
             query.get('TargetVersion', ''),
         )
-        return _answer(_encode_rows(page.rows, page.version))
+        return _respond(_encode_rows(page.rows, page.version))
 
     async def _follow(self, request: Request) -> Response:
         query = request.query_params
@@ -133,17 +133,17 @@
             )
         except HistoryLostError:
             return Response(status_code=410)
-        return _answer(_encode_rows(page.rows, page.version))
+        return _respond(_encode_rows(page.rows, page.version))
 
 
 @attrs.frozen
 class WorkerApi:
-    """One worker's calls."""
+    """HTTP API of one worker's agent."""
 
     worker: StandinWorker
 
     def make_app(self) -> Starlette:
-        """Return the application."""
+        """Return the ASGI application."""
         return Starlette(
             routes=[
                 Route('/v1/run-start', self._start, methods=['POST']),
@@ -166,7 +166,7 @@
             body.checkpoint,
             body.ticket,
         )
-        return _answer_order(self.worker.take_start(order))
+        return _respond_to_order(self.worker.take_start(order))
 
     async def _stop(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=StopBody)
@@ -176,14 +176,14 @@
             body.run,
             body.fencing_token,
         )
-        return _answer_order(answer)
+        return _respond_to_order(answer)
 
     async def _pace(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=PaceBody)
         run = self.worker.runs.get((parse_task(body.task), body.run))
         if run is not None:
             run.set_pace(body.percent)
-        return _answer(WorkerAnswerBody(self.worker.clock_ms))
+        return _respond(WorkerAnswerBody(self.worker.clock_ms))
 
     async def _hold(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=HoldBody)
@@ -199,18 +199,18 @@
             return Response(status_code=421)
         except FencedOrderError:
             fenced = WorkerAnswerBody(self.worker.clock_ms, 'fence')
-            return _answer(fenced, 409)
-        return _answer(
+            return _respond(fenced, 409)
+        return _respond(
             WorkerAnswerBody(
                 report.clock_ms,
                 '',
-                tuple(_encode_running(one) for one in report.running),
-                tuple(_encode_ended(one) for one in report.ended),
+                tuple(_encode_running_task(one) for one in report.running),
+                tuple(_encode_ended_run(one) for one in report.ended),
             )
         )
 
 
-def _encode_running(one: RunningTask) -> tuple[t.Any, ...]:
+def _encode_running_task(one: RunningTask) -> tuple[t.Any, ...]:
     return (
         one.key.format(),
         one.run,
@@ -220,7 +220,7 @@
     )
 
 
-def _encode_ended(one: EndedRun) -> tuple[int, str, int, str, str]:
+def _encode_ended_run(one: EndedRun) -> tuple[int, str, int, str, str]:
     return (
         one.number,
         one.key.format(),
@@ -230,22 +230,22 @@
     )
 
 
-def _answer_order(answer: OrderAnswer) -> Response:
+def _respond_to_order(answer: OrderAnswer) -> Response:
     if answer.outcome is StartOutcome.OTHER_LIFE:
         return Response(status_code=421)
     if answer.outcome is StartOutcome.STARTED:
-        return _answer(WorkerAnswerBody(answer.clock_ms))
-    reason = _REASONS.get(answer.outcome, '')
-    return _answer(WorkerAnswerBody(answer.clock_ms, reason), 409)
+        return _respond(WorkerAnswerBody(answer.clock_ms))
+    reason = _REASONS_BY_OUTCOME.get(answer.outcome, '')
+    return _respond(WorkerAnswerBody(answer.clock_ms, reason), 409)
 
 
 class StandinServers:
-    """Store and workers on loopback; an asynchronous context manager.
+    """Serves the store and workers on loopback; an async context manager.
 
     Parameters
     ----------
     worker_count : int
-        Workers to serve, each on a port of its own.
+        Number of workers, each with a port of its own.
     """
 
     def __init__(self, worker_count: int = 2) -> None:
@@ -256,7 +256,7 @@
         self._nursery: trio.Nursery | None = None
 
     async def __aenter__(self) -> t.Self:
-        """Serve everything."""
+        """Start all servers."""
         self._nursery = await self._stack.enter_async_context(
             trio.open_nursery()
         )
@@ -271,7 +271,7 @@
         return self
 
     async def __aexit__(self, *details: t.Any) -> None:
-        """Stop serving."""
+        """Stop all servers."""
         self._nursery.cancel_scope.cancel()
         await self._stack.__aexit__(*details)
 
--- a/src/tulippin/platform/standin_store.py
+++ b/src/tulippin/platform/standin_store.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of the platform's store."""
+"""In-memory stand-in of the platform's store."""
 
 from __future__ import annotations
 
@@ -17,33 +17,34 @@
     TransactionResult,
 )
 
-_MS: t.Final = 1000
-_STORE_S: t.Final = 0.004
+_MS_PER_S: t.Final = 1000
+_STORE_LATENCY_S: t.Final = 0.004
 SILENCE_S: t.Final = 0.9
-_LONGEST_QUEUE_S: t.Final = 1.0
-_LATE_S: t.Final = (1.0, 6.0)
+_MAX_WRITE_QUEUE_S: t.Final = 1.0
+_LATE_WRITE_RANGE_S: t.Final = (1.0, 6.0)
 
 
 @attrs.define
-class StoreTrouble:
-    """How the store misbehaves now.
+class StoreFaults:
+    """Faults that are injected into the store.
 
     Parameters
     ----------
     refused, silenced : set of str
-        Clients that get a refusal, or no answer at all; ``*`` is all.
+        Clients whose requests are rejected, or not answered; ``*`` stands
+        for all.
     lost_answer_share : float
-        Share of transactions that are done and not answered.
+        Share of transactions that are committed but not answered.
     late_write_share : float
-        Share of transactions that are not answered, and are carried out
-        one to six seconds later, if their conditions hold then.
+        Share of transactions that are not answered and are applied one to
+        six seconds later, if their conditions hold then.
     late_clients : set of str
-        Whose transactions may come late; ``*`` is all.
+        Clients whose transactions may be late; ``*`` stands for all.
     deaf_feeds : bool
-        Feeds return no change.
+        Feeds return no changes.
     write_s : float
-        How long a transaction takes; those of one part come in turn, and
-        are refused while more than a second of them waits.
+        Duration of a transaction. Transactions of one part are serialized,
+        and rejected while more than a second of them is queued.
     """
 
     refused: set[str] = attrs.field(factory=set)
@@ -57,13 +58,13 @@
 
 @attrs.define
 class StandinStore:
-    """Rows with versions from one counter, and their changes."""
+    """Rows with versions from one counter, and the log of their changes."""
 
-    trouble: StoreTrouble = attrs.field(factory=StoreTrouble)
+    trouble: StoreFaults = attrs.field(factory=StoreFaults)
     version: int = 0
     rows: dict[tuple[str, str, str], StoredRow] = attrs.field(factory=dict)
     changes: list[StoredRow] = attrs.field(factory=list)
-    forgotten_version: int = 0
+    dropped_version: int = 0
     cut_counts: dict[str, int] = attrs.field(factory=dict)
     call_count: int = 0
     busy_until_s: dict[str, float] = attrs.field(factory=dict)
@@ -71,24 +72,24 @@
     _changed: trio.Event = attrs.field(factory=trio.Event)
 
     def get_view(self, client: str) -> StoreView:
-        """Return the store as one client reaches it."""
+        """Return the store as seen by a client."""
         return StoreView(self, client)
 
     def write(self, table: str, part: str, key: str, value: t.Any) -> None:
-        """Write a row past all conditions, as the platform does."""
+        """Write a row unconditionally, as the platform itself does."""
         self.version += 1
-        self._store(table, part, key, value)
-        self._wake()
+        self._put_row(table, part, key, value)
+        self._notify()
 
     def cut_connections(self, client: str) -> None:
-        """Let the calls that a client has open now never be answered."""
+        """Leave the open feed requests of a client without an answer."""
         self.cut_counts[client] = self.cut_counts.get(client, 0) + 1
 
     def forget_history(self) -> None:
-        """Drop all changes so far."""
-        self.forgotten_version = self.version
+        """Drop the log of changes; older versions can't be followed."""
+        self.dropped_version = self.version
 
-    def _store(
+    def _put_row(
         self, table: str, part: str, key: str, value: bytes | None
     ) -> None:
         row = StoredRow(table, part, key, value, self.version)
@@ -98,112 +99,115 @@
             self.rows[table, part, key] = row
         self.changes.append(row)
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
     def apply(self, transaction: Transaction) -> TransactionResult:
-        """Carry out a transaction."""
+        """Commit a transaction if its conditions hold."""
         part = transaction.part
-        met = []
-        is_open = True
+        current_rows = []
+        is_met = True
         for condition in transaction.conditions:
             row = self.rows.get((condition.table, part, condition.key))
             if row is not None:
-                met.append(row)
+                current_rows.append(row)
             version = row.version if row else 0
-            is_open &= condition.version == version
-        if not is_open:
-            return TransactionResult(False, self.version, tuple(met))
+            is_met &= condition.version == version
+        if not is_met:
+            return TransactionResult(False, self.version, tuple(current_rows))
         self.version += 1
         for write in transaction.writes:
-            self._store(write.table, part, write.key, write.value)
-        self._wake()
+            self._put_row(write.table, part, write.key, write.value)
+        self._notify()
         return TransactionResult(True, self.version)
 
     async def apply_late(self, transaction: Transaction) -> None:
-        """Carry out a transaction that its sender has given up."""
-        await trio.sleep(self.source.uniform(*_LATE_S))
+        """Apply a transaction after its client has timed out."""
+        await trio.sleep(self.source.uniform(*_LATE_WRITE_RANGE_S))
         self.apply(transaction)
 
     async def wait_change(self, wait_ms: int) -> None:
-        """Wait for any change, for so long at most."""
-        with trio.move_on_after(wait_ms / _MS):
+        """Wait for a change, up to a timeout."""
+        with trio.move_on_after(wait_ms / _MS_PER_S):
             await self._changed.wait()
 
 
 @attrs.frozen
 class StoreView:
-    """The store as one client reaches it; see ``RowStore``."""
+    """The store as seen by one client; implements ``RowStore``."""
 
     store: StandinStore
     client: str
 
-    async def _enter(self) -> None:
+    async def _begin_request(self) -> None:
         trouble = self.store.trouble
         self.store.call_count += 1
-        await trio.sleep(_STORE_S / 2)
+        await trio.sleep(_STORE_LATENCY_S / 2)
         if trouble.silenced & {self.client, '*'}:
             await trio.sleep(SILENCE_S)
-            raise AnswerLostError('the store is silent')
+            raise AnswerLostError('the store does not answer')
         if trouble.refused & {self.client, '*'}:
-            raise UnavailableError('the store refuses')
+            raise UnavailableError('the store rejected the request')
 
-    async def _wait_turn(self, part: str) -> None:
-        """Wait until the writes of a part that came before are done."""
+    async def _wait_for_write(self, part: str) -> None:
+        """Wait for the earlier writes of a part, and for one write more."""
         now_s = trio.current_time()
-        begins_s = max(now_s, self.store.busy_until_s.get(part, now_s))
-        if begins_s - now_s > _LONGEST_QUEUE_S:
-            raise UnavailableError('the part is busy')
-        ends_s = begins_s + self.store.trouble.write_s
-        self.store.busy_until_s[part] = ends_s
-        await trio.sleep(ends_s - now_s)
+        start_s = max(now_s, self.store.busy_until_s.get(part, now_s))
+        if start_s - now_s > _MAX_WRITE_QUEUE_S:
+            raise UnavailableError('too many writes of the part are queued')
+        end_s = start_s + self.store.trouble.write_s
+        self.store.busy_until_s[part] = end_s
+        await trio.sleep(end_s - now_s)
 
     async def read_rows(
         self, table: str, part: str, first: str = '', end: str = ''
     ) -> RowPage:
-        """Return rows in key order."""
-        await self._enter()
+        """Return the rows of a key range in key order."""
+        await self._begin_request()
         found = [
             row
-            for (one, where, key), row in sorted(self.store.rows.items())
-            if (one, where) == (table, part)
+            for (row_table, row_part, key), row in sorted(
+                self.store.rows.items()
+            )
+            if (row_table, row_part) == (table, part)
             and key >= first
             and (not end or key < end)
         ]
         version = self.store.version
-        await trio.sleep(_STORE_S / 2)
+        await trio.sleep(_STORE_LATENCY_S / 2)
         return RowPage(tuple(found), version)
 
     async def follow(self, table: str, after: int, wait_ms: int) -> RowPage:
-        """Return the changes of a table after a version."""
-        await self._enter()
+        """Wait for changes of a table after a version, and return them."""
+        await self._begin_request()
         store = self.store
         cut_count = store.cut_counts.get(self.client, 0)
-        give_up_at = trio.current_time() + wait_ms / _MS
+        timeout_at_s = trio.current_time() + wait_ms / _MS_PER_S
         while True:
-            if after < store.forgotten_version:
-                raise HistoryLostError('forgotten')
+            if after < store.dropped_version:
+                raise HistoryLostError('the changes were dropped')
             found = [
                 row
                 for row in store.changes
                 if row.table == table and row.version > after
             ]
-            left_s = give_up_at - trio.current_time()
+            remaining_s = timeout_at_s - trio.current_time()
             if store.cut_counts.get(self.client, 0) != cut_count:
-                await trio.sleep(max(0, left_s) + SILENCE_S)
+                await trio.sleep(max(0, remaining_s) + SILENCE_S)
                 raise AnswerLostError('the connection was cut')
             if store.trouble.deaf_feeds:
                 found = []
-            if found or left_s <= 0:
+            if found or remaining_s <= 0:
                 newest = after if store.trouble.deaf_feeds else store.version
                 return RowPage(tuple(found), newest)
-            await store.wait_change(int(left_s * _MS) + 1)
+            await store.wait_change(int(remaining_s * _MS_PER_S) + 1)
 
     def _is_late(self) -> bool:
-        """Whether a transaction of this client comes late."""
+        """Return whether the next transaction of this client is late."""
         trouble = self.store.trouble
-        # No draw without the trouble: runs without it stay as they are.
+        # Without this fault no random number is drawn, so that runs without
+        # it keep their sequence.
         if not trouble.late_write_share:
             return False
         if not trouble.late_clients & {self.client, '*'}:
@@ -211,17 +215,17 @@
         return self.store.source.random() < trouble.late_write_share
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Carry out a transaction; its answer may be lost."""
-        await self._enter()
+        """Commit a transaction; its answer may be lost."""
+        await self._begin_request()
         if self._is_late():
             trio.lowlevel.spawn_system_task(self.store.apply_late, transaction)
             await trio.sleep(SILENCE_S)
-            raise AnswerLostError('the write comes late')
-        await self._wait_turn(transaction.part)
+            raise AnswerLostError('the write is late')
+        await self._wait_for_write(transaction.part)
         result = self.store.apply(transaction)
         trouble = self.store.trouble
         if self.store.source.random() < trouble.lost_answer_share:
             await trio.sleep(SILENCE_S)
             raise AnswerLostError('the answer is lost')
-        await trio.sleep(_STORE_S / 2)
+        await trio.sleep(_STORE_LATENCY_S / 2)
         return result
--- a/src/tulippin/platform/standin_worker.py
+++ b/src/tulippin/platform/standin_worker.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of one worker, and the history of its runs."""
+"""In-memory stand-in of a worker, and the history of its runs."""
 
 from __future__ import annotations
 
@@ -25,24 +25,37 @@
 )
 from tulippin.platform.wire import RoomBody, WorkerBody
 
-_MS: t.Final = 1000
+_MS_PER_S: t.Final = 1000
 _LOAD_MILLICORES: t.Final = 1000.0
-_PERCENT: t.Final = 100
-# A room that has shrunk counts so much later: 3 s, and a heartbeat.
-_ROOM_GRACE_MS: t.Final = 4100
+_FULL_PERCENT: t.Final = 100
+# A reduced capacity applies to starts after this time: 3 s and a heartbeat.
+_CAPACITY_GRACE_MS: t.Final = 4100
 
 
 def get_now_ms() -> int:
-    """Return the virtual time."""
-    return int(trio.current_time() * _MS)
+    """Return the virtual time in milliseconds."""
+    return int(trio.current_time() * _MS_PER_S)
 
 
 class TaskPlan(msgspec.Struct, frozen=True):
-    """What a task does, as its job's text says.
+    """Behaviour of a simulated task, encoded as JSON in the spec of its job.
 
-    ``failing_workers`` fail it; ``lasts`` runs until it is stopped. Its
-    worker crashes ``crashes_after_ms`` after each start, if that is told.
-    ``cpu_millicores`` is what it takes of its worker's room.
+    Parameters
+    ----------
+    run_ms : int
+        Duration of a run at full pace.
+    failing_workers : tuple of str
+        Workers on which its runs fail.
+    fails_always : bool
+        Its runs fail on all workers.
+    lasts : bool
+        It runs until it is stopped.
+    tail_ms : float
+        Tail latency that it reports as load if it ``lasts``.
+    crashes_after_ms : int, optional
+        Its worker crashes this long after each start of a run.
+    cpu_millicores : int
+        What a run takes of its worker's capacity.
     """
 
     run_ms: int = 300
@@ -56,7 +69,7 @@
 
 @attrs.frozen
 class RunEvent:
-    """Something that happened to a run, for the history."""
+    """Event in the history of a run."""
 
     at_ms: int
     kind: str
@@ -68,7 +81,7 @@
 
 @attrs.define
 class _Run:
-    """A run; ``left_ms`` is the work that was left at ``since_ms``."""
+    """Run on a worker; ``left_ms`` is its remaining work at ``since_ms``."""
 
     order: StartOrder
     plan: TaskPlan
@@ -81,50 +94,60 @@
 
     @property
     def is_crashing(self) -> bool:
-        """Whether the run ends its worker by now."""
+        """Whether it is time for the run to crash its worker."""
         after_ms = self.plan.crashes_after_ms
         return after_ms is not None and (
             get_now_ms() >= self.started_ms + after_ms
         )
 
     def compute_left_ms(self) -> float:
-        """Return the work left, in the time that it takes at full pace."""
+        """Return the remaining work, as its duration at full pace."""
         worked_ms = (get_now_ms() - self.since_ms) * self.pace_percent
-        return max(0.0, self.left_ms - worked_ms / _PERCENT)
+        return max(0.0, self.left_ms - worked_ms / _FULL_PERCENT)
 
     def set_pace(self, percent: int) -> None:
-        """Work at another share of the speed from now on."""
+        """Change the share of its speed at which the run works."""
         self.left_ms = self.compute_left_ms()
         self.since_ms = get_now_ms()
         self.pace_percent = percent
 
 
 def _get_progress(run: _Run) -> int:
-    """Return the share of the work done; tasks that last are at work."""
+    """Return the progress in percent; 100 for long-running tasks."""
     if run.plan.lasts:
-        return _PERCENT
+        return _FULL_PERCENT
     left_ms = run.compute_left_ms()
-    return int(_PERCENT - left_ms * _PERCENT // max(1, run.plan.run_ms))
+    return int(
+        _FULL_PERCENT - left_ms * _FULL_PERCENT // max(1, run.plan.run_ms)
+    )
 
 
 @attrs.define
 class StandinWorker:
-    """One life of a worker; leases run on its own clock.
+    """Incarnation of a worker; its leases follow its own clock.
 
     Parameters
     ----------
     worker_id, address : str
-        Who it is and where it listens.
+        The id of the incarnation, and where it listens.
     history : list of RunEvent
-        Where all that happens to runs is written down.
+        Receives the events of its runs.
     clock_offset_ms : int
-        Its clock beside the virtual time.
+        Offset of its clock from the virtual time.
     leaves_at_ms : int, optional
-        When it ends in a planned way, with all that still runs there.
-    stop_ms : int
-        How long a stop takes; until then the run is there.
+        When a draining worker shuts down with its remaining runs.
+    cut_off : set of str
+        Clients that can't reach it; ``*`` stands for all.
+    late_orders_s : float
+        Delay with which start orders are carried out, without an answer.
+    tells_load : bool
+        It reports the load of its runs.
     tells_entry : bool
-        It writes its entry on the list every second.
+        It writes its entry into the worker list with each heartbeat.
+    stop_ms : int
+        Delay until a stopped run ends.
+    rooms : list of (int, int)
+        Earlier CPU capacities, each with the time at which it changed.
     """
 
     worker_id: str
@@ -136,14 +159,14 @@
     clock_offset_ms: int = 5000
     is_up: bool = True
     crashed_ms: int | None = None
-    is_off_list: bool = False
-    is_succeeded: bool = False
+    is_entry_removed: bool = False
+    is_restarted: bool = False
     is_draining: bool = False
     leaves_at_ms: int | None = None
     cut_off: set[str] = attrs.field(factory=set)
     late_orders_s: float = 0.0
     tells_load: bool = True
-    tells_entry: bool = True
+    publishes_entry: bool = True
     stop_ms: int = 0
     rooms: list[tuple[int, int]] = attrs.field(factory=list)
     runs: dict[tuple[TaskKey, int], _Run] = attrs.field(factory=dict)
@@ -157,11 +180,11 @@
 
     @property
     def clock_ms(self) -> int:
-        """The worker's own steady clock."""
+        """The worker's monotonic clock."""
         return get_now_ms() + self.clock_offset_ms
 
     def make_body(self, sequence: int) -> bytes:
-        """Return the worker's entry for the list."""
+        """Return the encoded entry for the worker list."""
         return msgspec.json.encode(
             WorkerBody(
                 service=self.service,
@@ -172,7 +195,7 @@
                 state='draining' if self.is_draining else 'ready',
                 cold_remaining_ms=0,
                 sequence=sequence,
-                room=self.room,
+                capacity=self.room,
                 labels=self.labels,
                 clock_ms=self.clock_ms,
                 remaining_ms=self._get_remaining_ms(),
@@ -185,7 +208,7 @@
             return 0
         return max(0, self.leaves_at_ms - get_now_ms())
 
-    def _note(
+    def _record_event(
         self,
         kind: str,
         key: TaskKey,
@@ -196,40 +219,46 @@
             RunEvent(get_now_ms(), kind, self.worker_id, key, run, outcome)
         )
 
-    def _end(self, place: tuple[TaskKey, int], outcome: RunOutcome) -> None:
-        run = self.runs.pop(place)
+    def _end_run(
+        self, run_key: tuple[TaskKey, int], outcome: RunOutcome
+    ) -> None:
+        run = self.runs.pop(run_key)
         self.last_number += 1
         self.ended.append(
             EndedRun(
-                self.last_number, place[0], place[1], outcome, run.checkpoint
+                self.last_number,
+                run_key[0],
+                run_key[1],
+                outcome,
+                run.checkpoint,
             )
         )
-        self._note('ended', place[0], place[1], outcome)
+        self._record_event('ended', run_key[0], run_key[1], outcome)
         self._changed.set()
         self._changed = trio.Event()
 
     def tick(self) -> None:
-        """End what is over: work done, and leases that lapsed.
+        """End completed runs, and all runs once the lease has expired.
 
-        A run that crashes its worker ends all that is there.
+        A run that is due to crash the worker ends all its runs.
         """
         for key, number in self._list_crashing():
-            self._note('crashed', key, number)
+            self._record_event('crashed', key, number)
             self.crash()
-        for place, run in list(self.runs.items()):
+        for run_key, run in list(self.runs.items()):
             outcome = self._get_outcome(run)
             if outcome is not None:
-                self._end(place, outcome)
+                self._end_run(run_key, outcome)
 
     def _list_crashing(self) -> list[tuple[TaskKey, int]]:
-        """Return the first run that ends the worker by now, if any does."""
+        """Return the first run that is due to crash the worker, if any."""
         crashing = [
-            place for place, run in self.runs.items() if run.is_crashing
+            run_key for run_key, run in self.runs.items() if run.is_crashing
         ]
         return crashing[:1]
 
     def _get_outcome(self, run: _Run) -> RunOutcome | None:
-        """Return how a run has ended by now, if it has."""
+        """Return the outcome of a run, or None while it runs."""
         if self.clock_ms > self.deadline_ms:
             return RunOutcome.LAPSED
         if run.stops_at_ms is not None:
@@ -243,33 +272,33 @@
         return RunOutcome.FAILED if fails else RunOutcome.DONE
 
     def resize(self, cpu_millicores: int) -> None:
-        """Have another room from now on; its next entry tells it."""
+        """Change the CPU capacity; the next heartbeat publishes it."""
         self.rooms.append((get_now_ms(), self.room.cpu))
         self.room = msgspec.structs.replace(self.room, cpu=cpu_millicores)
 
-    def _is_over_room(self) -> bool:
-        """Whether what is there is more than the room that counts by now."""
-        since_ms = get_now_ms() - _ROOM_GRACE_MS
+    def _is_over_capacity(self) -> bool:
+        """Whether the runs exceed all capacities of the grace period."""
+        since_ms = get_now_ms() - _CAPACITY_GRACE_MS
         earlier = [cpu for until_ms, cpu in self.rooms if until_ms > since_ms]
         taken = sum(run.plan.cpu_millicores for run in self.runs.values())
         return taken > max([self.room.cpu, *earlier])
 
     def crash(self) -> None:
-        """Die with all that runs here."""
+        """Stop working; all runs are lost."""
         for key, run in list(self.runs):
-            self._note('ended', key, run, RunOutcome.LAPSED)
-            self._note('lost', key, run)
+            self._record_event('ended', key, run, RunOutcome.LAPSED)
+            self._record_event('lost', key, run)
         self.runs.clear()
         self.is_up = False
         self.crashed_ms = get_now_ms()
 
     def fail_all(self) -> None:
-        """End all that runs here as failed, and list it so."""
-        for place in list(self.runs):
-            self._end(place, RunOutcome.FAILED)
+        """End and report all runs as failed."""
+        for run_key in list(self.runs):
+            self._end_run(run_key, RunOutcome.FAILED)
 
     def take_start(self, order: StartOrder) -> OrderAnswer:
-        """Carry out an order to start."""
+        """Handle an order to start a run."""
         if order.worker_id != self.worker_id:
             return OrderAnswer(StartOutcome.OTHER_LIFE)
         clock_ms = self.clock_ms
@@ -289,15 +318,15 @@
             order, plan, plan.run_ms, get_now_ms(), order.checkpoint
         )
         self.started_count += 1
-        self._note('started', order.key, order.run)
-        if self._is_over_room():
-            self._note('over_room', order.key, order.run)
+        self._record_event('started', order.key, order.run)
+        if self._is_over_capacity():
+            self._record_event('over_room', order.key, order.run)
         return OrderAnswer(StartOutcome.STARTED, clock_ms)
 
     def take_stop(
         self, worker_id: str, key: TaskKey, run: int, fence: int
     ) -> OrderAnswer:
-        """Carry out an order to stop."""
+        """Handle an order to stop a run."""
         if worker_id != self.worker_id:
             return OrderAnswer(StartOutcome.OTHER_LIFE)
         if fence < self.fence:
@@ -317,15 +346,25 @@
         deadline_ms: int | None,
         wait_ms: int,
     ) -> WorkerReport:
-        """Extend the lease and report, after a wait for an end."""
+        """Extend the lease; wait for a run to end, and return the report.
+
+        Raises
+        ------
+        WorkerChangedError
+            If the request is for another incarnation.
+        FencedOrderError
+            If a higher fencing token was received.
+        AnswerLostError
+            If the worker has crashed.
+        """
         if worker_id != self.worker_id:
-            raise WorkerChangedError('another life')
+            raise WorkerChangedError('another incarnation')
         if fence < self.fence:
             raise FencedOrderError('a newer owner')
         self.fence = fence
         for ended in self.ended:
             if ended.number <= last_seen:
-                self._note('noted', ended.key, ended.run, ended.outcome)
+                self._record_event('noted', ended.key, ended.run, ended.outcome)
         self.ended = [one for one in self.ended if one.number > last_seen]
         self.tick()
         if not self.is_up:
@@ -333,7 +372,7 @@
         if deadline_ms is not None:
             self.deadline_ms = max(self.deadline_ms, deadline_ms)
         if not self.ended and wait_ms:
-            with trio.move_on_after(wait_ms / _MS):
+            with trio.move_on_after(wait_ms / _MS_PER_S):
                 await self._changed.wait()
         return self._report()
 
@@ -346,7 +385,7 @@
         load = self._get_load(run.plan)
         if load is None or run.plan.lasts:
             return load
-        return load * run.pace_percent / _PERCENT
+        return load * run.pace_percent / _FULL_PERCENT
 
     def _report(self) -> WorkerReport:
         running = tuple(
--- a/src/tulippin/platform/wire.py
+++ b/src/tulippin/platform/wire.py
@@ -63,8 +63,8 @@
     long_running: bool = msgspec.field(name='LongRunning', default=False)
     image: str = ''
     target_ms: float = 0
-    fills: bool = False
-    may_miss: int = 0
+    opportunistic: bool = msgspec.field(name='fills', default=False)
+    max_unavailable: int = msgspec.field(name='may_miss', default=0)
 
 
 class JobBody(msgspec.Struct, frozen=True):
@@ -152,7 +152,7 @@
     state: _WorkerState = msgspec.field(name='State')
     cold_remaining_ms: float = msgspec.field(name='ColdRemainingMs')
     sequence: int = msgspec.field(name='Sequence')
-    room: RoomBody = msgspec.field(name='Capacity')
+    capacity: RoomBody = msgspec.field(name='Capacity')
     # The kind of the worker, then its rack.
     labels: t.Annotated[tuple[str, ...], msgspec.Meta(min_length=1)] = (
         msgspec.field(name='Labels')
@@ -235,7 +235,7 @@
     wait_ms: int = msgspec.field(name='WaitMs', default=0)
 
 
-class QuestionBody(msgspec.Struct, frozen=True):
+class AdviceRequestBody(msgspec.Struct, frozen=True):
     """Request to the advice service: which workers may run a step."""
 
     step: str = msgspec.field(name='Step')
