--- a/src/tulippin/scheduler_bundles.py
+++ b/src/tulippin/scheduler_bundles.py
@@ -1,4 +1,4 @@
-"""Which bundle is in force on a scheduler instance."""
+"""Applies rolled-out policy bundles to a scheduler instance."""
 
 from __future__ import annotations
 
@@ -15,50 +15,52 @@
 from tulippin.jobs.shell import SchedulerShell
 from tulippin.logs import logger
 
-# A change is to be in force within 12 s; a reading takes some 5 ms.
-_LOOK_EVERY_S: t.Final = 4.0
+# A new bundle must be in force within 12 s; reading the head takes 5 ms.
+_CHECK_INTERVAL_S: t.Final = 4.0
 _HEAD_KEY: t.Final = 'bundle-head'
 
 
 async def follow_bundles(
     shell: SchedulerShell, keys: t.Mapping[str, str]
 ) -> None:
-    """Put the rolled bundle's first policy in force, ever a newer one.
+    """Watch for newly rolled bundles and put their first policy in force.
+
+    Runs until it is cancelled.
 
     Parameters
     ----------
     shell : SchedulerShell
-        Told of each new policy.
+        Receives a `PolicyChanged` event for each new policy.
     keys : mapping of str to str
-        Operators' public keys; a bundle whose signatures they do not
-        confirm is not put in force.
+        Operators' public keys. A bundle without valid signatures of these
+        keys is rejected.
     """
     follower = _Follower(shell, keys)
     while True:
-        await trio.sleep(_LOOK_EVERY_S)
+        await trio.sleep(_CHECK_INTERVAL_S)
         try:
-            await follower.look()
+            await follower.check()
         except UnavailableError as error:
             shell.note_store(error)
         except TulippinError as error:
-            follower.tell(error)
+            follower.log_rejected(error)
 
 
 @attrs.define
 class _Follower:
-    """What is in force, and why what was rolled since is not."""
+    """Number of the bundle in force, and the last logged reject reason."""
 
     shell: SchedulerShell
     keys: t.Mapping[str, str]
     head_version: int = 0
     number: int = 0
-    told: str = ''
+    last_logged_reason: str = ''
 
-    async def look(self) -> None:
-        """Put the newest bundle in force, unless none came since.
+    async def check(self) -> None:
+        """Put the newest bundle in force if the head has changed.
 
-        The head's version is kept once that is done: a row that is refused
-        may be mended without a new head.
+        The version of the head is stored only after success: a rejected
+        bundle row may be corrected without a new head.
         """
         store = self.shell.ports.store
         head = await read_row(store, PRODUCT_TABLE, PRODUCT_PART, _HEAD_KEY)
@@ -66,26 +68,28 @@
             return
         self.number = await _apply_newest(self.shell, self.keys, self.number)
         self.head_version = head.version
-        self.told = ''
+        self.last_logged_reason = ''
 
-    def tell(self, error: TulippinError) -> None:
-        """Log why a bundle is refused, unless that was told last."""
+    def log_rejected(self, error: TulippinError) -> None:
+        """Log why a bundle is rejected, unless the same reason was logged."""
         reason = error.format_message()
-        if reason != self.told:
+        if reason != self.last_logged_reason:
             logger.error('bundle refused', reason=reason)
-        self.told = reason
+        self.last_logged_reason = reason
 
 
 async def _apply_newest(
     shell: SchedulerShell, keys: t.Mapping[str, str], number: int
 ) -> int:
-    # Signatures need a library of 11 MB, and the product's own messages a
-    # tenth of an instance's time to start: one without any bundle loads none.
-    table_module = importlib.import_module('tulippin.row_table')
-    table = table_module.RowTable(shell.ports.store)
-    store_module = importlib.import_module('tulippin.bundle_store')
+    """Verify and apply the newest bundle; return the number in force."""
+    # Imported on first use, so that an instance without bundles doesn't load
+    # them: signatures need a library of 11 MB, and the product's messages
+    # take a tenth of the start time.
+    row_table = importlib.import_module('tulippin.row_table')
+    table = row_table.RowTable(shell.ports.store)
+    bundle_store = importlib.import_module('tulippin.bundle_store')
     bundles = importlib.import_module('tulippin.bundles')
-    store = store_module.BundleStore(table, keys)
+    store = bundle_store.BundleStore(table, keys)
     head, _ = await store.read_head()
     if head.rolled_number <= number:
         return number
--- a/src/tulippin/scheduler_daemon.py
+++ b/src/tulippin/scheduler_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of a scheduler instance on the users' platform."""
+"""Daemon of a scheduler instance; the entry point `tulippin-instance`."""
 
 from __future__ import annotations
 
@@ -35,55 +35,55 @@
 from tulippin.platform.store import PlatformStore
 from tulippin.platform.workers import PlatformWorkers
 from tulippin.scheduler_bundles import follow_bundles
-from tulippin.scheduler_lives import LifeKeeper
+from tulippin.scheduler_process_records import ProcessRecorder
 from tulippin.scheduler_settings import (
     SchedulerSettings,
     load_scheduler_settings,
 )
 from tulippin.supervision import keep_running
 
-_MS: t.Final = 1000
-# An owner writes some 300 lines a second into a buffer of 8,000.
-_FLUSH_EVERY_S: t.Final = 0.25
-# What is still in the buffer at the end is of the moments before it; a
-# reader of its usual speed takes all of it in this time.
-_DRAIN_S: t.Final = 1.0
+_MS_PER_S: t.Final = 1000
+# An owner writes about 300 lines a second into a buffer of 8,000.
+_FLUSH_INTERVAL_S: t.Final = 0.25
+# At exit the buffer holds the last lines before the end; a reader of normal
+# speed consumes a full buffer in this time.
+_LOG_DRAIN_TIMEOUT_S: t.Final = 1.0
 # The store answers in 4 to 9 ms, and in 300 ms when it is slow.
 _STORE_TIMEOUT_S: t.Final = 0.9
 _STORE_CONNECTIONS: t.Final = 24
-# How long the first look at the units waits for what the last life tells: a
-# store that takes longer would not tell of the units either.
-_LOOK_BACK_S: t.Final = 0.4
-# What a process that ends by an error takes to keep why.
-_LAST_WRITE_S: t.Final = 0.3
-# A worker answers in a few ms; a silent one is asked again.
+# Maximum wait for the record of the previous process before the units are
+# read: a store that takes longer would not return the units either.
+_PREVIOUS_RECORD_TIMEOUT_S: t.Final = 0.4
+# Time that a failed process may take to store the cause of its failure.
+_FAILURE_WRITE_TIMEOUT_S: t.Final = 0.3
+# A worker answers in a few ms; requests without an answer are repeated.
 _WORKER_TIMEOUT_S: t.Final = 0.7
 _WORKER_CONNECTIONS: t.Final = 10
-# The balancer asks once a second and acts on the second miss.
-_BALANCER_S: t.Final = 2.6
-# Before the end of the grace: all has to be done by then, and for so long
-# before that the listeners close.
-_LAST_CALLS_S: t.Final = 1.0
-_CLOSING_S: t.Final = 2.0
-# Silence of the store after which callers do better elsewhere: a feed
+# Time for the load balancer to notice that the instance is not ready: it
+# checks once a second and acts on the second failure.
+_BALANCER_NOTICE_S: t.Final = 2.6
+# Reserved at the end of the grace period: for the last requests, and for
+# closing the listeners.
+_LAST_REQUESTS_S: t.Final = 1.0
+_CLOSE_LISTENERS_S: t.Final = 2.0
+# The instance is not ready if the store hasn't answered for this long: a feed
 # returns every 1.5 s, and a slow store answers in 0.3 s.
-_STORE_SILENCE_MS: t.Final = 2500
-# How often the settings file is looked at.
-_WATCH_EVERY_S: t.Final = 1.0
-# What a reload puts in force; the rest is read at the next start.
-_RELOADED: t.Final = frozenset(
+_MAX_STORE_SILENCE_MS: t.Final = 2500
+_SETTINGS_CHECK_INTERVAL_S: t.Final = 1.0
+# Settings that a reload applies; the others need a restart.
+_RELOADABLE_SETTINGS: t.Final = frozenset(
     ('store_address', 'grace_ms', 'operators', 'log_level')
 )
-# New objects between two looks for garbage, and looks of one generation to one
-# of the next. Nearly all garbage goes without them; with the usual 700, an
-# owner of 37 workers spent 529 us on a start in place of 484 (means of two
-# runs each of `bench/unit_load.py --workers 37`).
-_GARBAGE_THRESHOLDS: t.Final = (20_000, 20, 20)
+# Thresholds of Python's cyclic garbage collector. Reference counting frees
+# nearly all garbage; with the default of 700 new objects, an owner of 37
+# workers spends 529 us per start instead of 484
+# (`bench/unit_load.py --workers 37`).
+_GC_THRESHOLDS: t.Final = (20_000, 20, 20)
 _USAGE: t.Final = 'usage: tulippin-instance SETTINGS.ini'
 
 
-def _get_changed_at(path: str) -> float:
-    """Return when a file was last changed; 0 if it is not there."""
+def _get_modified_s(path: str) -> float:
+    """Return the modification time of a file; 0 if it doesn't exist."""
     try:
         return pathlib.Path(path).stat().st_mtime
     except OSError:
@@ -91,14 +91,16 @@
 
 
 class SchedulerDaemon:
-    """One instance with its listeners.
+    """Scheduler instance with its listeners and background tasks.
 
     Parameters
     ----------
     settings : SchedulerSettings
-        As read from the file.
+        Settings of the instance.
     lines : LineBuffer
-        Where log lines gather.
+        Buffer of log lines, flushed by the daemon.
+    path : str
+        Settings file for reloads.
     """
 
     def __init__(
@@ -113,23 +115,23 @@
         self._store: PlatformStore | None = None
         self.ports: dict[str, int] = {}
         self._shell: SchedulerShell | None = None
-        self._lives: LifeKeeper | None = None
+        self._recorder: ProcessRecorder | None = None
         self._stopping = trio.Event()
         self._has_seen_units = False
 
     def stop(self) -> None:
-        """Begin the planned stop."""
+        """Begin a planned stop."""
         self._stopping.set()
 
-    def take_signal(self, number: int) -> None:
-        """Reload at SIGHUP; begin the planned stop at any other signal."""
+    def handle_signal(self, number: int) -> None:
+        """Reload the settings at SIGHUP; begin a planned stop otherwise."""
         if number == signal.SIGHUP:
             self.reload()
         else:
             self.stop()
 
     def reload(self) -> None:
-        """Read the settings file again; a faulty one changes nothing."""
+        """Read the settings file again; an invalid one is ignored."""
         try:
             settings = load_scheduler_settings(self._path)
         except InputError as error:
@@ -140,7 +142,7 @@
             )
             return
         except Exception as error:
-            # What no check foresaw must not end an instance that works.
+            # An error that the validation misses must not end the instance.
             failures.tell('settings failed', error, path=self._path)
             return
         changed = [
@@ -156,21 +158,21 @@
         logger.info(
             'settings read again',
             changed=changed,
-            needs_restart=sorted(set(changed) - _RELOADED),
+            needs_restart=sorted(set(changed) - _RELOADABLE_SETTINGS),
         )
 
     async def _watch_settings(self) -> None:
-        """Notice a changed file that no signal told of."""
-        known = _get_changed_at(self._path)
+        """Reload the settings when the file changes, without a signal."""
+        last_modified_s = _get_modified_s(self._path)
         while True:
-            await trio.sleep(_WATCH_EVERY_S)
-            found = _get_changed_at(self._path)
-            if found != known:
-                known = found
+            await trio.sleep(_SETTINGS_CHECK_INTERVAL_S)
+            modified_s = _get_modified_s(self._path)
+            if modified_s != last_modified_s:
+                last_modified_s = modified_s
                 self.reload()
 
     def get_unready(self) -> str:
-        """Return why callers should go elsewhere, or an empty text."""
+        """Return why the instance is not ready, or an empty string."""
         shell = self._shell
         if self._stopping.is_set():
             return 'stopping'
@@ -182,20 +184,20 @@
         if not self._has_seen_units:
             return 'no leases yet'
         silent_ms = read_clock_ms() - shell.store_answered_ms
-        if silent_ms > _STORE_SILENCE_MS:
+        if silent_ms > _MAX_STORE_SILENCE_MS:
             return f'the store has been silent for {silent_ms} ms'
         return ''
 
     async def run(self, task_status: t.Any = trio.TASK_STATUS_IGNORED) -> None:
-        """Run until a planned stop is complete."""
+        """Run the instance until a planned stop is complete."""
         async with contextlib.AsyncExitStack() as stack:
-            shell, lives = await self._open(stack)
+            shell, recorder = await self._open(stack)
             nursery = await stack.enter_async_context(trio.open_nursery())
-            self._start_tasks(nursery, lives)
+            self._start_tasks(nursery, recorder)
             app = CallersApp(JobIntake(shell), self.get_unready)
             servers = self._make_servers(stack, app)
             await _serve_all(nursery, servers)
-            await _start(shell, lives, stack)
+            await _start_shell(shell, recorder, stack)
             follow = functools.partial(
                 follow_bundles, shell, self.settings.operators
             )
@@ -203,18 +205,20 @@
             task_status.started()
             logger.info('started', session=shell.config.session_id)
             await self._stopping.wait()
-            await self._leave(app, servers)
+            await self._shut_down(app, servers)
             nursery.cancel_scope.cancel()
 
-    def _start_tasks(self, nursery: trio.Nursery, lives: LifeKeeper) -> None:
+    def _start_tasks(
+        self, nursery: trio.Nursery, recorder: ProcessRecorder
+    ) -> None:
         nursery.start_soon(keep_running, 'log', self._flush)
         nursery.start_soon(keep_running, 'settings', self._watch_settings)
-        nursery.start_soon(lives.begin)
+        nursery.start_soon(recorder.begin)
 
     def _make_servers(
         self, stack: contextlib.AsyncExitStack, app: CallersApp
     ) -> list[HttpServer]:
-        """Bind the listeners of callers, readiness and operators."""
+        """Bind the listeners for callers, readiness checks and operators."""
         settings = self.settings
         operators = LazyApp(self._make_operators)
         servers = {
@@ -231,7 +235,7 @@
         module = importlib.import_module('tulippin.scheduler_operators')
         api = module.SchedulerOperatorsApi(
             self._shell,
-            self._lives,
+            self._recorder,
             self.settings.operators,
             self.get_unready,
         )
@@ -239,7 +243,8 @@
 
     async def _open(
         self, stack: contextlib.AsyncExitStack
-    ) -> tuple[SchedulerShell, LifeKeeper]:
+    ) -> tuple[SchedulerShell, ProcessRecorder]:
+        """Create the clients, the shell and the process recorder."""
         settings = self.settings
         client = await stack.enter_async_context(
             HttpClient(_STORE_TIMEOUT_S, _STORE_CONNECTIONS)
@@ -271,33 +276,40 @@
             clock=read_clock_ms,
             wall=read_wall_ms,
         )
-        self._lives = LifeKeeper(
+        self._recorder = ProcessRecorder(
             store, config.instance_id, config.session_id, read_wall_ms
         )
-        return self._shell, self._lives
+        return self._shell, self._recorder
 
     async def _hand_over(self, shell: SchedulerShell) -> None:
-        """Give up all units, as long as there is time to close after it.
+        """Release all units, within the time that closing leaves.
 
-        Until another has a unit, this instance decides for it: also where the
-        store does not take its release.
+        This instance goes on deciding for a unit until another instance owns
+        it, also if the store rejects the release.
         """
-        grace_s = self.settings.grace_ms / _MS
-        with trio.move_on_after(max(grace_s / 2, grace_s - _CLOSING_S)):
+        grace_s = self.settings.grace_ms / _MS_PER_S
+        with trio.move_on_after(max(grace_s / 2, grace_s - _CLOSE_LISTENERS_S)):
             await shell.leave()
 
-    async def _leave(self, app: CallersApp, servers: list[HttpServer]) -> None:
-        """Release the unit, answer what comes, then close."""
+    async def _shut_down(
+        self, app: CallersApp, servers: list[HttpServer]
+    ) -> None:
+        """Release the units, go on serving requests, then close.
+
+        Requests are served until the load balancer has noticed the stop.
+        """
         logger.info('stopping')
         app.is_closing = True
-        grace_s = self.settings.grace_ms / _MS
-        with trio.move_on_after(grace_s - _LAST_CALLS_S):
+        grace_s = self.settings.grace_ms / _MS_PER_S
+        with trio.move_on_after(grace_s - _LAST_REQUESTS_S):
             async with trio.open_nursery() as nursery:
                 if self._shell is not None:
                     nursery.start_soon(self._hand_over, self._shell)
-                if self._lives is not None:
-                    nursery.start_soon(self._lives.end_planned)
-                nursery.start_soon(trio.sleep, min(_BALANCER_S, grace_s / 2))
+                if self._recorder is not None:
+                    nursery.start_soon(self._recorder.end_planned)
+                nursery.start_soon(
+                    trio.sleep, min(_BALANCER_NOTICE_S, grace_s / 2)
+                )
             for server in servers:
                 server.shut_down()
             for server in servers:
@@ -305,23 +317,24 @@
         logger.info('stopped')
         self._lines.flush()
 
-    async def keep_failure(self, error: BaseException) -> None:
-        """Keep for the next life what ended this one, if there is time.
+    async def record_failure(self, error: BaseException) -> None:
+        """Store the error that ended this process, for its next start.
 
-        To be run once ``run`` has ended, with its connections.
+        Called after ``run`` has ended and closed its connections. Gives up
+        after a short timeout.
         """
-        if self._lives is None:
+        if self._recorder is None:
             return
-        with trio.move_on_after(_LAST_WRITE_S):
-            async with HttpClient(_LAST_WRITE_S, 1) as client:
+        with trio.move_on_after(_FAILURE_WRITE_TIMEOUT_S):
+            async with HttpClient(_FAILURE_WRITE_TIMEOUT_S, 1) as client:
                 address = self.settings.store_address
-                self._lives.store = PlatformStore(address, client)
-                await self._lives.end_failed(error)
+                self._recorder.store = PlatformStore(address, client)
+                await self._recorder.end_failed(error)
 
     async def _flush(self) -> None:
         while True:
             self._lines.flush()
-            await trio.sleep(_FLUSH_EVERY_S)
+            await trio.sleep(_FLUSH_INTERVAL_S)
 
 
 async def _serve_all(
@@ -331,17 +344,21 @@
         await nursery.start(server.serve)
 
 
-async def _start(
-    shell: SchedulerShell, lives: LifeKeeper, stack: contextlib.AsyncExitStack
+async def _start_shell(
+    shell: SchedulerShell,
+    recorder: ProcessRecorder,
+    stack: contextlib.AsyncExitStack,
 ) -> None:
-    """Start a shell, without advice if the last lives ended within seconds.
+    """Start a shell, without advisory input after repeated failed starts.
 
-    What only advises may be what ended them; without it a start costs some
-    placement, and with it perhaps one more life.
+    The advisory input may have caused the failures. Starting without it makes
+    placement worse; starting with it may end the process again.
     """
-    with trio.move_on_after(_LOOK_BACK_S):
-        await lives.looked.wait()
-    shell.config = attrs.evolve(shell.config, is_without_advice=lives.settle())
+    with trio.move_on_after(_PREVIOUS_RECORD_TIMEOUT_S):
+        await recorder.read_finished.wait()
+    shell.config = attrs.evolve(
+        shell.config, is_without_advice=recorder.decide_without_advice()
+    )
     await stack.enter_async_context(shell)
 
 
@@ -353,7 +370,7 @@
 
             async def watch() -> None:
                 async for number in signals:
-                    daemon.take_signal(number)
+                    daemon.handle_signal(number)
 
             nursery.start_soon(watch)
             await daemon.run()
@@ -366,13 +383,13 @@
     Returns
     -------
     int
-        The exit code. What ended the instance is told as one line; the
-        interpreter's own traceback would be no JSON among the others.
+        The exit code. An error that ends the instance is logged as one JSON
+        line, as all other output, in place of the interpreter's traceback.
     """
     settings = load_scheduler_settings(path)
-    # What is loaded by now stays for good.
+    # Objects loaded so far are never garbage.
     gc.freeze()
-    gc.set_threshold(*_GARBAGE_THRESHOLDS)
+    gc.set_threshold(*_GC_THRESHOLDS)
     lines = LineBuffer(
         sys.stdout.fileno(),
         {
@@ -387,25 +404,25 @@
             trio.run(_run_with_signals, daemon)
         except BaseException as error:
             failures.tell('instance failed', error)
-            # An exit on purpose has a code of its own.
+            # SystemExit and KeyboardInterrupt keep their own exit codes.
             if not isinstance(error, Exception):
                 raise
-            # A signal may end the process before the row is kept.
+            # A signal may end the process before the row is written.
             lines.flush()
-            trio.run(daemon.keep_failure, error)
+            trio.run(daemon.record_failure, error)
             return failures.get_exit_code(error)
         finally:
-            lines.drain(_DRAIN_S)
+            lines.drain(_LOG_DRAIN_TIMEOUT_S)
     return 0
 
 
 def main(arguments: t.Sequence[str] | None = None) -> int:
     """Run an instance; return its exit code."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
+    received = list(sys.argv[1:] if arguments is None else arguments)
     try:
-        if len(given) != 1 or given[0].startswith('-'):
+        if len(received) != 1 or received[0].startswith('-'):
             raise InputError(_USAGE, code='usage')
-        return run_settings(given[0])
+        return run_settings(received[0])
     except TulippinError as error:
         error.show()
         return error.exit_code
--- a/src/tulippin/scheduler_operators.py
+++ b/src/tulippin/scheduler_operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API and the metrics of a scheduler instance."""
+"""Operators' HTTP API and Prometheus metrics of a scheduler instance."""
 
 from __future__ import annotations
 
@@ -27,24 +27,26 @@
 from tulippin.jobs.state import Phase, SchedulerState
 from tulippin.latency_metrics import iter_latency_metrics
 from tulippin.row_table import RowTable
-from tulippin.scheduler_lives import LifeKeeper
+from tulippin.scheduler_process_records import ProcessRecorder
 
 
 class SchedulerMetrics(Collector):
-    """Collects an instance's figures at each scrape."""
+    """Collects the metrics of an instance at each scrape."""
 
-    def __init__(self, shell: SchedulerShell, lives: LifeKeeper) -> None:
+    def __init__(
+        self, shell: SchedulerShell, recorder: ProcessRecorder
+    ) -> None:
         self._shell = shell
-        self._lives = lives
+        self._recorder = recorder
         self.registry = CollectorRegistry()
         self.registry.register(self)
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def collect(self) -> t.Iterator[Metric]:
-        """Yield every metric as it is now."""
+        """Yield the current value of every metric."""
         states = [unit.state for unit in self._shell.units.values()]
         counters = CounterMetricFamily(
             'tulippin_events', 'Things counted, by name', labels=['name']
@@ -55,19 +57,19 @@
         for name, count in sorted(counts.items()):
             counters.add_metric([name], count)
         yield counters
-        yield _make_failures()
+        yield _make_failure_counter()
         yield from _iter_gauges(
             {
                 'tulippin_event_age_ms': self._shell.event_age_ms,
-                'tulippin_failed_starts': self._lives.failed_starts,
-                **_sum_figures(states),
+                'tulippin_failed_starts': self._recorder.failed_starts,
+                **_sum_gauges(states),
             }
         )
         yield from iter_latency_metrics(self._shell.latencies)
 
 
-def _make_failures() -> Metric:
-    """Return the errors that were contained, by what failed."""
+def _make_failure_counter() -> Metric:
+    """Return the counts of contained errors by failed component."""
     metric = CounterMetricFamily(
         'tulippin_failures',
         'Unexpected errors, by what failed',
@@ -78,8 +80,8 @@
     return metric
 
 
-def _sum_figures(states: t.Sequence[SchedulerState]) -> dict[str, int]:
-    """Return the figures of all units that the instance knows."""
+def _sum_gauges(states: t.Sequence[SchedulerState]) -> dict[str, int]:
+    """Return gauges summed over all units that the instance holds."""
     return {
         'tulippin_units_owned': sum(
             one.ownership.phase is Phase.ACTIVE for one in states
@@ -104,35 +106,35 @@
 
 
 class SchedulerOperatorsApi:
-    """Answers operators by way of a scheduler's shell.
+    """ASGI application with the state of an instance, for operators.
 
     Parameters
     ----------
     shell : SchedulerShell
-        The instance.
-    lives : LifeKeeper
-        Its lives, as far as they are known.
+        The scheduler whose state is shown.
+    recorder : ProcessRecorder
+        Holds how the previous process of the instance ended.
     keys : mapping of str to str
         Operators' public keys.
     get_unready : callable
-        Returns why the instance is not ready, or an empty text.
+        Returns why the instance is not ready, or an empty string.
     """
 
     def __init__(
         self,
         shell: SchedulerShell,
-        lives: LifeKeeper,
+        recorder: ProcessRecorder,
         keys: t.Mapping[str, str],
         get_unready: t.Callable[[], str],
     ) -> None:
         self._shell = shell
         self._get_unready = get_unready
-        self._lives = lives
-        self._metrics = SchedulerMetrics(shell, lives)
+        self._recorder = recorder
+        self._metrics = SchedulerMetrics(shell, recorder)
         self._bundles = BundleStore(RowTable(shell.ports.store), keys)
 
     def _iter_states(self) -> t.Iterator[SchedulerState]:
-        """Iterate over the units as the instance knows them."""
+        """Iterate over the states of the instance's units."""
         for unit in self._shell.units.values():
             yield unit.state
 
@@ -142,7 +144,7 @@
             [
                 *BundleRoutes(self._bundles).make_routes(),
                 Route('/v1/units', self._list_units),
-                Route('/v1/lives', self._list_lives),
+                Route('/v1/lives', self._list_previous_process),
                 Route('/v1/jobs', self._list_jobs),
                 Route('/v1/jobs/{job_id}', self._show_job),
                 Route('/v1/queues', self._show_queues),
@@ -158,12 +160,12 @@
         rows = [views.show_unit(state) for state in self._iter_states()]
         return make_json({'units': rows})
 
-    async def _list_lives(self, _: Request) -> Response:
-        return make_json({'lives': self._show_lives()})
+    async def _list_previous_process(self, _: Request) -> Response:
+        return make_json({'lives': self._show_previous_process()})
 
-    def _show_lives(self) -> list[dict[str, t.Any]]:
-        """Return the last life, unless the store did not tell it."""
-        last = self._lives.last
+    def _show_previous_process(self) -> list[dict[str, t.Any]]:
+        """Return the end of the previous process, once it has been read."""
+        last = self._recorder.last
         return [] if last is None else [last.describe()]
 
     async def _list_jobs(self, request: Request) -> Response:
@@ -211,7 +213,7 @@
         return make_json(
             {
                 'units': [views.dump(state) for state in self._iter_states()],
-                'lives': self._show_lives(),
+                'lives': self._show_previous_process(),
                 'failures': failures.counts,
             }
         )
--- a/src/tulippin/scheduler_settings.py
+++ b/src/tulippin/scheduler_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a scheduler instance: INI, all findings together."""
+"""Reads and validates the INI settings file of a scheduler instance."""
 
 from __future__ import annotations
 
@@ -30,42 +30,41 @@
         'log',
     )
 )
-# Bounds that no instance reaches, so that what is worked out of the figures
-# stays one.
-_LONGEST_LEASE_MS: t.Final = 600_000
-_LONGEST_GRACE_S: t.Final = 3600.0
-_MOST_CORES: t.Final = 1000.0
-_MOST_SPEED: t.Final = 1000.0
+# Above any real instance; values derived from these settings stay finite.
+_MAX_LEASE_MS: t.Final = 600_000
+_MAX_GRACE_S: t.Final = 3600.0
+_MAX_CORES: t.Final = 1000.0
+_MAX_CORE_SPEED: t.Final = 1000.0
 
 
 @attrs.frozen
 class SchedulerSettings:
-    """Everything that a scheduler instance learns from its file.
+    """Settings of a scheduler instance.
 
     Parameters
     ----------
     instance_id, failure_domain, region : str
-        Who and where the instance is.
+        Identity and location of the instance.
     callers, readiness : str
-        Addresses to listen on, each an IP and a port.
+        Listen addresses, each an IP and a port.
     internal_ip : str
-        Where peers and operators reach the instance.
+        IP at which peers and operators reach the instance.
     internal_first_port, internal_last_port : int
-        Ports free for that.
+        Port range that is free for them.
     store_address : str
-        IP and port of the platform's store.
+        Address of the platform's store.
     advice_address : str
-        IP and port of the service that knows which workers may run what.
+        Address of the advice service; empty if there is none.
     worker_lease_limit_ms : int
-        The longest lease that a worker grants.
+        Maximum lease that a worker grants.
     grace_ms : int
-        Time between a planned stop and the kill.
+        Time between the signal for a planned stop and the kill.
     operators : dict
-        Names and Ed25519 public keys of those who sign bundles.
+        Names and Ed25519 public keys of the operators who sign bundles.
     log_level : str
-        The least level of log lines.
+        Minimum level of log lines.
     processor_share : float
-        The instance's processor, in cores of usual speed.
+        Processing capacity of the instance, in cores of standard speed.
     """
 
     instance_id: str
@@ -86,44 +85,50 @@
 
     @property
     def operators_address(self) -> str:
-        """Where operators and scrapes reach the instance."""
+        """Listen address for operators and metric scrapes."""
         return f'{self.internal_ip}:{self.internal_first_port}'
 
 
 def load_scheduler_settings(path: str | pathlib.Path) -> SchedulerSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     InputError
-        With every finding, each with file, section and key.
+        With all findings, each with file, section and key.
     """
     source = str(path)
     return parse_scheduler_settings(read_settings_text(source), source)
 
 
 def is_scheduler_settings(text: str) -> bool:
-    """Tell the settings of a scheduler instance by their [store]."""
+    """Return whether a settings text has a [store] section."""
     return any(line.strip() == '[store]' for line in text.splitlines())
 
 
 def parse_scheduler_settings(
     text: str, source: str = 'settings'
 ) -> SchedulerSettings:
-    """Check settings given as text."""
+    """Parse and validate settings given as text.
+
+    Raises
+    ------
+    InputError
+        With all findings.
+    """
     parser = read_ini(text, source)
     findings: list[Finding] = []
     for section in parser.sections():
         if section not in _SECTIONS:
-            known = ', '.join(sorted(_SECTIONS))
+            valid = ', '.join(sorted(_SECTIONS))
             findings.append(
-                Finding(f'{source}: [{section}]', 'unknown section', known)
+                Finding(f'{source}: [{section}]', 'unknown section', valid)
             )
     readers = {
         name: SectionReader(parser, name, source, findings)
         for name in _SECTIONS
     }
-    settings = _read(parser, readers)
+    settings = _read_settings(parser, readers)
     for reader in readers.values():
         reader.close()
     if findings:
@@ -135,15 +140,16 @@
     return settings
 
 
-def _read(
+def _read_settings(
     parser: configparser.ConfigParser, readers: dict[str, SectionReader]
 ) -> SchedulerSettings:
+    """Read all settings; the readers collect the findings."""
     instance = readers['instance']
     listen = readers['listen']
     ports = listen.get_list('internal_ports')
     first, last = _read_ports(listen, ports)
     workers = readers['workers']
-    grace_s = readers['stop'].get_float('grace_s', 6.0, 1.0, _LONGEST_GRACE_S)
+    grace_s = readers['stop'].get_float('grace_s', 6.0, 1.0, _MAX_GRACE_S)
     return SchedulerSettings(
         instance_id=instance.get_text('id'),
         failure_domain=instance.get_text('failure_domain'),
@@ -160,7 +166,7 @@
             readers['advice'], 'address', '', may_be_name=True
         ),
         worker_lease_limit_ms=workers.get_int(
-            'lease_limit_ms', 6000, 1000, _LONGEST_LEASE_MS
+            'lease_limit_ms', 6000, 1000, _MAX_LEASE_MS
         ),
         grace_ms=int(grace_s * 1000),
         operators=read_operators(parser, readers['operators']),
@@ -168,8 +174,8 @@
             'level', ('debug', 'info', 'warning', 'error'), 'info'
         ),
         processor_share=(
-            instance.get_float('core_share', 1.0, 0.01, _MOST_CORES)
-            * instance.get_float('core_speed', 1.0, 0.01, _MOST_SPEED)
+            instance.get_float('core_share', 1.0, 0.01, _MAX_CORES)
+            * instance.get_float('core_speed', 1.0, 0.01, _MAX_CORE_SPEED)
         ),
     )
 
@@ -190,9 +196,10 @@
 def _read_ports(
     listen: SectionReader, ports: tuple[str, ...]
 ) -> tuple[int, int]:
-    found = [parse_port(port) for port in ports]
-    known = [port for port in found if port is not None]
-    if len(known) == len(ports) == 2 and known == sorted(known):
-        return known[0], known[1]
+    """Return the first and last internal port; report an invalid range."""
+    parsed = [parse_port(port) for port in ports]
+    valid = [port for port in parsed if port is not None]
+    if len(valid) == len(ports) == 2 and valid == sorted(valid):
+        return valid[0], valid[1]
     listen.report('internal_ports', 'is no range', 'write FIRST,LAST')
     return 0, 0
--- a/tests/tulippin/platform/test_instance_lives.py
+++ b/tests/tulippin/platform/test_instance_lives.py
@@ -40,7 +40,7 @@
     await trio.sleep(0.5)
     self.settings = module.attrs.evolve(self.settings, store_address='{0}')
     1 / 0
-module._LAST_WRITE_S = {1}
+module._FAILURE_WRITE_TIMEOUT_S = {1}
 """
 
 
@@ -166,7 +166,7 @@
 
 
 async def test_silent_store_does_not_delay_serving(tmp_path, monkeypatch):
-    monkeypatch.setattr(scheduler_daemon, '_LOOK_BACK_S', 60)
+    monkeypatch.setattr(scheduler_daemon, '_PREVIOUS_RECORD_TIMEOUT_S', 60)
     monkeypatch.setattr(scheduler_daemon, '_STORE_TIMEOUT_S', 60)
     with listen_silently() as silent:
         path = write_settings(tmp_path, silent)
--- a/tests/tulippin/test_scheduler_lives.py
+++ b/tests/tulippin/test_scheduler_process_records.py
@@ -17,13 +17,13 @@
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.ports import StoredRow
 from tulippin.platform.standin_store import SILENCE_S, StandinStore
-from tulippin.scheduler_lives import (
-    LIVES_TABLE,
-    LifeEnd,
-    LifeKeeper,
-    LifeRecord,
-    get_life_key,
-    get_life_part,
+from tulippin.scheduler_process_records import (
+    PROCESS_RECORDS_TABLE,
+    ProcessEnd,
+    ProcessRecord,
+    ProcessRecorder,
+    get_record_key,
+    get_record_part,
 )
 
 INSTANCE = 'edge-1'
@@ -41,9 +41,9 @@
     def read_wall_ms(self):
         return self.wall_ms
 
-    def make_keeper(self, instance_id=INSTANCE):
+    def make_recorder(self, instance_id=INSTANCE):
         self.life_count += 1
-        return LifeKeeper(
+        return ProcessRecorder(
             self.store.get_view(instance_id),
             instance_id,
             f'{instance_id}:{self.life_count}',
@@ -51,30 +51,30 @@
         )
 
     async def begin(self, instance_id=INSTANCE):
-        keeper = self.make_keeper(instance_id)
-        await keeper.begin()
-        return keeper
+        recorder = self.make_recorder(instance_id)
+        await recorder.begin()
+        return recorder
 
     async def live(self, for_ms, error=None):
         """Live for a while and end; without an error by a planned stop."""
-        keeper = await self.begin()
+        recorder = await self.begin()
         self.wall_ms += for_ms
         if error is None:
-            await keeper.end_planned()
+            await recorder.end_planned()
         else:
-            await keeper.end_failed(error)
+            await recorder.end_failed(error)
 
     async def be_killed(self, for_ms):
         await self.begin()
         self.wall_ms += for_ms
 
     def get_row(self, instance_id=INSTANCE):
-        key = get_life_key(instance_id)
-        place = (LIVES_TABLE, get_life_part(instance_id), key)
+        key = get_record_key(instance_id)
+        place = (PROCESS_RECORDS_TABLE, get_record_part(instance_id), key)
         return self.store.rows.get(place)
 
     def read(self):
-        return read_record(self.get_row(), LifeRecord)
+        return read_record(self.get_row(), ProcessRecord)
 
 
 @attrs.define
@@ -120,9 +120,9 @@
 
 def test_first_life_has_none_before_it(run):
     async def play(site):
-        keeper = await site.begin()
-        assert keeper.last.end is LifeEnd.NONE
-        assert keeper.failed_starts == 0
+        recorder = await site.begin()
+        assert recorder.last.end is ProcessEnd.NONE
+        assert recorder.failed_starts == 0
 
     (told,) = list_told(run(play))
     assert told['end'] == 'none'
@@ -167,11 +167,11 @@
 def test_third_failed_start_in_a_row_begins_without_advice(run):
     async def play(site):
         for is_without in (False, False, False, True):
-            keeper = site.make_keeper()
-            await keeper.begin()
-            assert keeper.settle() is is_without
+            recorder = site.make_recorder()
+            await recorder.begin()
+            assert recorder.decide_without_advice() is is_without
             site.wall_ms += 5000
-            await keeper.end_failed(make_error())
+            await recorder.end_failed(make_error())
 
     told = list_told(run(play))
     assert [one['failed_starts'] for one in told] == [0, 1, 2, 3]
@@ -189,9 +189,9 @@
             await site.live(600_000, make_error())
         else:
             await site.live(-600_000, make_error())
-        keeper = await site.begin()
-        assert keeper.failed_starts == 0
-        assert not keeper.settle()
+        recorder = await site.begin()
+        assert recorder.failed_starts == 0
+        assert not recorder.decide_without_advice()
 
     run(play)
 
@@ -200,11 +200,11 @@
 def test_store_that_is_away_ends_nothing(run, trouble):
     async def play(site):
         getattr(site.store.trouble, trouble).add('*')
-        keeper = site.make_keeper()
-        await keeper.begin()
-        assert keeper.looked.is_set()
-        assert not keeper.settle()
-        await keeper.end_planned()
+        recorder = site.make_recorder()
+        await recorder.begin()
+        assert recorder.read_finished.is_set()
+        assert not recorder.decide_without_advice()
+        await recorder.end_planned()
 
     records = run(play)
     reasons = [one for one in records if one.message == 'life not kept']
@@ -216,10 +216,10 @@
     async def play(site):
         await site.live(5000, make_error())
         site.store.trouble.refused.add('*')
-        keeper = await site.begin()
+        recorder = await site.begin()
         site.store.trouble.refused.clear()
         site.wall_ms += 5000
-        await keeper.end_failed(make_error())
+        await recorder.end_failed(make_error())
         assert (await site.begin()).failed_starts == 2
 
     run(play)
@@ -228,10 +228,10 @@
 @pytest.mark.plants_errors
 def test_fault_of_the_keeping_is_told_and_ends_nothing(run):
     async def play(site):
-        keeper = site.make_keeper()
-        keeper.store = None
-        await keeper.begin()
-        await keeper.end_planned()
+        recorder = site.make_recorder()
+        recorder.store = None
+        await recorder.begin()
+        await recorder.end_planned()
 
     records = run(play)
     assert [one.message for one in records] == ['life not kept'] * 2
@@ -241,10 +241,10 @@
 def test_lost_answer_of_the_first_write_does_not_lose_the_end(run):
     async def play(site):
         site.store.trouble.lost_answer_share = 1.0
-        keeper = await site.begin()
+        recorder = await site.begin()
         site.store.trouble.lost_answer_share = 0.0
-        await keeper.end_failed(make_error())
-        assert site.read().end is LifeEnd.FAILED
+        await recorder.end_failed(make_error())
+        assert site.read().end is ProcessEnd.FAILED
 
     run(play)
 
@@ -255,15 +255,15 @@
     async def play(site):
         await site.live(60_000)
         site.store.trouble.silenced.add('*')
-        keeper = site.make_keeper()
+        recorder = site.make_recorder()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(keeper.begin)
+            nursery.start_soon(recorder.begin)
             await trio.sleep(SILENCE_S / 2)
             site.store.trouble.silenced.clear()
-            await keeper.end_planned()
-        assert keeper.last.last_session == 'edge-1:1'
+            await recorder.end_planned()
+        assert recorder.last.last_session == 'edge-1:1'
         assert site.read().session_id == 'edge-1:2'
-        assert site.read().end is LifeEnd.PLANNED
+        assert site.read().end is ProcessEnd.PLANNED
 
     assert len(list_told(run(play))) == 2
 
@@ -271,16 +271,16 @@
 def test_reading_that_comes_after_the_end_is_not_heeded(run):
     async def play(site):
         await site.live(60_000)
-        keeper = site.make_keeper()
-        reading = SlowReading(keeper.store)
-        keeper.store = reading
+        recorder = site.make_recorder()
+        reading = SlowReading(recorder.store)
+        recorder.store = reading
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(keeper.begin)
+            nursery.start_soon(recorder.begin)
             await trio.sleep(0.1)
-            await keeper.end_planned()
+            await recorder.end_planned()
             reading.may_answer.set()
-        assert keeper.last.last_session == 'edge-1:1'
-        assert site.read().end is LifeEnd.PLANNED
+        assert recorder.last.last_session == 'edge-1:1'
+        assert site.read().end is ProcessEnd.PLANNED
 
     assert len(list_told(run(play))) == 2
 
@@ -294,17 +294,17 @@
         await older.end_planned()
         assert site.read().session_id == 'edge-1:2'
         await newer.end_planned()
-        assert site.read().end is LifeEnd.PLANNED
+        assert site.read().end is ProcessEnd.PLANNED
 
     run(play)
 
 
 def test_failure_during_a_planned_stop_is_a_failure(run):
     async def play(site):
-        keeper = await site.begin()
-        await keeper.end_planned()
-        await keeper.end_failed(make_error())
-        assert site.read().end is LifeEnd.FAILED
+        recorder = await site.begin()
+        await recorder.end_planned()
+        await recorder.end_failed(make_error())
+        assert site.read().end is ProcessEnd.FAILED
 
     run(play)
 
@@ -333,8 +333,8 @@
         rows = [site.get_row(name) for name in names]
         assert rows[0].key != rows[1].key
         assert max(len(row.key) for row in rows) <= 64
-        keeper = await site.begin(names[0])
-        assert keeper.last.end is LifeEnd.UNKNOWN
+        recorder = await site.begin(names[0])
+        assert recorder.last.end is ProcessEnd.UNKNOWN
 
     run(play)
 
@@ -343,21 +343,23 @@
     b'',
     b'[]',
     b'{"instance_id": 5}',
-    encode(LifeRecord('other', 'other:1', BEGAN_MS)),
-    encode(LifeRecord(INSTANCE, 's', BEGAN_MS, failed_starts=-1)),
-    encode(LifeRecord(INSTANCE, 's', -(10**30))),
-    encode(LifeRecord(INSTANCE, 's', 10**30)),
-    encode(LifeRecord(INSTANCE, 's', BEGAN_MS, cause='x' * 100_000)),
+    encode(ProcessRecord('other', 'other:1', BEGAN_MS)),
+    encode(ProcessRecord(INSTANCE, 's', BEGAN_MS, failed_starts=-1)),
+    encode(ProcessRecord(INSTANCE, 's', -(10**30))),
+    encode(ProcessRecord(INSTANCE, 's', 10**30)),
+    encode(ProcessRecord(INSTANCE, 's', BEGAN_MS, cause='x' * 100_000)),
 )
 
 
 @pytest.mark.parametrize('value', FOREIGN)
 def test_foreign_row_under_our_key_is_told_and_replaced(run, value):
     async def play(site):
-        part = get_life_part(INSTANCE)
-        site.store.write(LIVES_TABLE, part, get_life_key(INSTANCE), value)
-        keeper = await site.begin()
-        assert keeper.last.end is LifeEnd.NONE
+        part = get_record_part(INSTANCE)
+        site.store.write(
+            PROCESS_RECORDS_TABLE, part, get_record_key(INSTANCE), value
+        )
+        recorder = await site.begin()
+        assert recorder.last.end is ProcessEnd.NONE
         assert site.read().session_id == 'edge-1:1'
 
     records = run(play)
@@ -366,10 +368,12 @@
 
 def test_foreign_row_after_the_start_is_left_alone(run):
     async def play(site):
-        keeper = await site.begin()
-        part = get_life_part(INSTANCE)
-        site.store.write(LIVES_TABLE, part, get_life_key(INSTANCE), b'[]')
-        await keeper.end_planned()
+        recorder = await site.begin()
+        part = get_record_part(INSTANCE)
+        site.store.write(
+            PROCESS_RECORDS_TABLE, part, get_record_key(INSTANCE), b'[]'
+        )
+        await recorder.end_planned()
         assert site.get_row().value == b'[]'
 
     assert run(play)[-1].message == 'life not kept'
@@ -380,14 +384,14 @@
         for _ in range(3):
             await site.live(5000, make_error())
         site.store.trouble.silenced.add('*')
-        keeper = site.make_keeper()
+        recorder = site.make_recorder()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(keeper.begin)
+            nursery.start_soon(recorder.begin)
             await trio.sleep(SILENCE_S / 3)
-            assert not keeper.settle()
+            assert not recorder.decide_without_advice()
         site.store.trouble.silenced.clear()
-        later = site.make_keeper()
-        assert not later.settle()
+        later = site.make_recorder()
+        assert not later.decide_without_advice()
         await later.begin()
 
     told = list_told(run(play))[-1]
@@ -411,9 +415,9 @@
     async def play():
         for _ in range(count):
             await site.begin(name)
-        keeper = await site.begin(name)
+        recorder = await site.begin(name)
         site.wall_ms += lasted_ms
-        await keeper.end_failed(ValueError(text))
+        await recorder.end_failed(ValueError(text))
 
     with logbook.TestHandler() as handler:
         trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -422,4 +426,4 @@
     assert 'life not kept' not in messages
     row = site.get_row(name)
     assert isinstance(row, StoredRow)
-    assert read_record(row, LifeRecord).end is LifeEnd.FAILED
+    assert read_record(row, ProcessRecord).end is ProcessEnd.FAILED
