--- a/src/tulippin/platform/standin.py
+++ b/src/tulippin/platform/standin.py
@@ -282,15 +282,15 @@
     violations = []
     history = list(history)
     for event in history:
-        location = (event.worker_id, event.run)
+        run_id = (event.worker_id, event.run)
         if event.kind == 'started':
             if running[event.key]:
-                violations.append(f'twice: {event}')
+                violations.append(f'concurrent runs: {event}')
             if event.key in acknowledged:
-                violations.append(f'after its end: {event}')
-            running[event.key].add(location)
+                violations.append(f'start after the end: {event}')
+            running[event.key].add(run_id)
         elif event.kind == 'ended':
-            running[event.key].discard(location)
+            running[event.key].discard(run_id)
         elif event.kind == 'noted' and event.outcome is RunOutcome.DONE:
             acknowledged.add(event.key)
     violations.extend(
@@ -312,5 +312,5 @@
         elif event.kind == 'started' and crashes[event.key] >= _CRASH_LIMIT:
             starts_after[event.key] += 1
             if starts_after[event.key] > _MAX_STARTS_AFTER_CRASHES:
-                violations.append(f'over its budget: {event}')
+                violations.append(f'too many starts after crashes: {event}')
     return violations
--- a/src/tulippin/platform/standin_store.py
+++ b/src/tulippin/platform/standin_store.py
@@ -151,7 +151,7 @@
             raise UnavailableError('the store rejected the request')
 
     async def _wait_for_write(self, part: str) -> None:
-        """Wait for the earlier writes of a part, and for one write more."""
+        """Wait until the queued writes of a part and this one are done."""
         now_s = trio.current_time()
         start_s = max(now_s, self.store.busy_until_s.get(part, now_s))
         if start_s - now_s > _MAX_WRITE_QUEUE_S:
--- a/src/tulippin/scheduler_daemon.py
+++ b/src/tulippin/scheduler_daemon.py
@@ -156,7 +156,7 @@
             self._store.address = settings.store_address
         self._lines.change_level(settings.log_level.upper())
         logger.info(
-            'settings read again',
+            'settings reloaded',
             changed=changed,
             needs_restart=sorted(set(changed) - _RELOADABLE_SETTINGS),
         )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings for all tests: virtual time and the same choices each run."""
+"""Fixtures of all tests: virtual time and a check for contained errors."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class ToldFailure:
-    """An error that was contained, and told."""
+    """Contained error that was reported through `failures.tell`."""
 
     what: str
     error: BaseException
@@ -35,40 +35,40 @@
 
 @pytest.fixture(autouse=True)
 def told_failures(monkeypatch, request):
-    """Fail a test in which an error was contained that it does not expect.
+    """Fail a test in which an unexpected error was contained.
 
-    The product goes on after such an error: without this a fault of its own
-    would pass. A test that plants one clears what is told, or is marked
-    ``plants_errors``. What the reducer contains counts as soon as it is
-    decided: many tests have no shell that would tell it.
+    The product goes on after a contained error, so that a test could pass in
+    spite of a fault. A test that injects errors clears the list, or is marked
+    ``plants_errors``. Errors contained by the reducer count as soon as it
+    emits their effect, as many tests have no shell that would report them.
     """
-    told = []
+    reported = []
     tell = failures.tell
 
-    decided = []
+    emitted = []
     emit = Context.emit
 
-    def note(what, error, **fields):
-        decided[:] = [one for one in decided if one.error is not error]
-        told.append(ToldFailure(what, error, fields))
+    def record_reported(what, error, **fields):
+        emitted[:] = [one for one in emitted if one.error is not error]
+        reported.append(ToldFailure(what, error, fields))
         tell(what, error, **fields)
 
-    def note_effect(context, effect):
+    def record_emitted(context, effect):
         if isinstance(effect, TellFailure):
             fields = {'sources': effect.sources}
-            decided.append(ToldFailure(effect.what, effect.error, fields))
+            emitted.append(ToldFailure(effect.what, effect.error, fields))
         emit(context, effect)
 
-    monkeypatch.setattr(failures, 'tell', note)
-    monkeypatch.setattr(Context, 'emit', note_effect)
-    yield told
+    monkeypatch.setattr(failures, 'tell', record_reported)
+    monkeypatch.setattr(Context, 'emit', record_emitted)
+    yield reported
     if request.node.get_closest_marker('plants_errors') is None:
-        assert told == []
-        assert [one for one in decided if not is_planted(one)] == []
+        assert reported == []
+        assert [one for one in emitted if not is_planted(one)] == []
 
 
 def is_planted(one):
-    """Whether all causes of an error are a test's own."""
+    """Return whether a test raised all causes of an error."""
     return all(
         type(cause).__name__ == 'PlantedError'
         for cause in failures.find_causes(one.error)
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def run_virtual():
-    """Return a runner of asynchronous functions in virtual time."""
+    """Return a function that runs a coroutine function in virtual time."""
 
     def run(function, *arguments, seed=1):
         trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True
--- a/tests/fleet_of_schedulers.py
+++ b/tests/fleet_of_schedulers.py
@@ -1,4 +1,4 @@
-"""Scheduler instances over the platform's stand-in, in virtual time."""
+"""Scheduler instances on the platform's stand-in, in virtual time."""
 
 import collections
 import contextlib
@@ -30,7 +30,7 @@
 URGENT = QUEUE
 PATIENT = Queue('p', 'host', '/p/', 'catalogue', 2, 3, 2.0, 500)
 JOB = '00000000000000aa'
-# How long a caller waits for an instance's answer.
+# Deadline of callers' requests.
 LIMIT_MS = 3000
 
 
@@ -55,7 +55,7 @@
 
 
 def make_serving(count, target_ms):
-    """Return a job that serves on so many workers, one task on each."""
+    """Return a latency-critical job with one task on each of its workers."""
     step = make_step(
         count,
         cpu=6000,
@@ -68,13 +68,13 @@
 
 
 def make_lasting(count, cpu=1000, **options):
-    """Return a job of long-running tasks."""
+    """Return a job of long-running tasks without a latency target."""
     step = make_step(count, cpu, long_running=True, **options)
     return make_request(step, lasts=True)
 
 
 def get_longest_gap_ms(fleet, job_id=JOB):
-    """Return for how long at most a task of a job has not run."""
+    """Return the longest time between two runs of one of a job's tasks."""
     gaps = collections.Counter()
     ended_ms = {}
     for event in fleet.platform.history:
@@ -113,14 +113,14 @@
     platform: StandinPlatform = attrs.field(factory=StandinPlatform)
     instances: dict = attrs.field(factory=dict)
     advisor: StandinAdvisor = attrs.field(factory=StandinAdvisor)
-    life_count: int = 0
+    session_count: int = 0
     options: dict = attrs.field(factory=dict)
 
     async def start(self, name):
-        """Start an instance; wait until it runs."""
-        self.life_count += 1
+        """Start an instance, and wait until it runs."""
+        self.session_count += 1
         config = SchedulerConfig(
-            name, f'{name}:{self.life_count}', **self.options
+            name, f'{name}:{self.session_count}', **self.options
         )
         agents = self.platform.get_agents(name)
         view = self.platform.store.get_view(name)
@@ -154,12 +154,12 @@
         self.kill(self.get_owner())
 
     async def stop(self, name):
-        """Have an instance give its units up, and end its process."""
+        """Have an instance release its units, and end its process."""
         await self.instances[name].shell.leave()
         self.kill(name)
 
     async def submit(self, job_id=JOB, request=None, queue=QUEUE, by=None):
-        """Hand a job in at an instance, the first one if none is named."""
+        """Submit a job to an instance, by default to the first one."""
         name = by or next(iter(self.instances))
         await self.instances[name].intake.submit(
             job_id, queue, request or make_request(), LIMIT_MS
@@ -172,7 +172,7 @@
         )
 
     def get_other(self, name):
-        """Return the first instance that has another name."""
+        """Return the name of the first other instance."""
         return next(one for one in self.instances if one != name)
 
     def get_owner(self):
--- a/tests/instance_processes.py
+++ b/tests/instance_processes.py
@@ -1,4 +1,4 @@
-"""Daemons in processes of their own, with code planted before they start."""
+"""Runs daemons in subprocesses, with code injected before they start."""
 
 import json
 import subprocess
@@ -12,11 +12,11 @@
 import sys
 import trio
 from tulippin import {module} as module
-{planted}
+{injected}
 sys.exit(module.main(sys.argv[1:]))
 """
-# Runs a planted coroutine function beside a daemon, in a task that nothing
-# contains.
+# Runs the injected coroutine function `fail` beside a daemon, in a task whose
+# errors are not contained.
 BESIDE = """
 real_run = module.SchedulerDaemon.run
 async def run(self, *arguments):
@@ -30,14 +30,14 @@
 
 @attrs.frozen
 class Ended:
-    """A process that has ended, with all that it wrote."""
+    """Exit code and output of a process."""
 
     code: int
     output: bytes
 
     @property
     def lines(self):
-        """Return all output as JSON; text of any other kind fails."""
+        """Return all output lines decoded as JSON; other text is an error."""
         return [json.loads(line) for line in self.output.splitlines()]
 
     def find(self, message):
@@ -46,9 +46,9 @@
         return found
 
 
-async def open_instance(module, planted, path):
-    """Start a daemon; both its outputs go the same way."""
-    program = PROGRAM.format(module=module, planted=planted)
+async def open_instance(module, injected, path):
+    """Start a daemon with its standard error redirected to its output."""
+    program = PROGRAM.format(module=module, injected=injected)
     return await trio.lowlevel.open_process(
         [sys.executable, '-c', program, str(path)],
         stdout=subprocess.PIPE,
@@ -57,7 +57,7 @@
 
 
 async def read_until(process, message):
-    """Return what a process wrote until it told a message."""
+    """Return the output of a process up to a log message."""
     output = b''
     with trio.fail_after(LIMIT_S):
         while f'"{message}"'.encode() not in output:
@@ -68,7 +68,7 @@
 
 
 async def read_to_end(process, pause_s=0, output=b''):
-    """Return what a process wrote, once it has ended."""
+    """Return the exit code and output of a process once it has ended."""
     with trio.fail_after(LIMIT_S):
         while part := await process.stdout.receive_some():
             output += part
@@ -77,9 +77,9 @@
     return Ended(code, output)
 
 
-async def run_instance(module, planted, path, pause_s=0):
-    """Run a daemon until it ends by itself."""
-    process = await open_instance(module, planted, path)
+async def run_instance(module, injected, path, pause_s=0):
+    """Run a daemon until it exits."""
+    process = await open_instance(module, injected, path)
     try:
         return await read_to_end(process, pause_s)
     finally:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Tests known to fail, as KNOWN-RED.txt lists them: run, and printed."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures."""
 
 import pathlib
 
@@ -6,17 +6,17 @@
 import pytest
 
 PATH = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
-# More would hide what is new among what is known.
-MOST = 3
-FIELDS = 3
-# Begins the cause of a test that fails in some runs only: either result is
-# passed over, as its passing does not show that the fault is mended.
-SOMETIMES = 'sometimes:'
+# A longer list would hide new failures among the known ones.
+MAX_ENTRIES = 3
+FIELD_COUNT = 3
+# Prefix of the cause of a flaky test: both results are accepted, as a passing
+# run doesn't show that the fault is fixed.
+FLAKY_PREFIX = 'sometimes:'
 
 
 @attrs.frozen
 class KnownRed:
-    """A test that fails for a fault that is not mended yet."""
+    """Entry of the list: a test that fails for a fault that isn't fixed."""
 
     test: str
     cause: str
@@ -24,47 +24,53 @@
 
 
 def read_known_red(text):
-    """Return the entries of a list: TEST | CAUSE | ISSUE on each line.
+    """Parse a list with one TEST | CAUSE | ISSUE entry per line.
 
     Raises
     ------
     pytest.UsageError
-        If a line lacks a field, or there are too many lines.
+        If a line lacks a field, or there are too many entries.
     """
-    found = []
+    entries = []
     for line in filter(str.strip, text.splitlines()):
         fields = [field.strip() for field in line.split('|')]
-        if len(fields) != FIELDS or not all(fields):
+        if len(fields) != FIELD_COUNT or not all(fields):
             raise pytest.UsageError(
                 f'KNOWN-RED.txt: write TEST | CAUSE | ISSUE, not {line!r}'
             )
-        found.append(KnownRed(*fields))
-    if len(found) > MOST:
+        entries.append(KnownRed(*fields))
+    if len(entries) > MAX_ENTRIES:
         raise pytest.UsageError(
-            f'KNOWN-RED.txt: {len(found)} tests, {MOST} at most: mend one'
+            f'KNOWN-RED.txt: {len(entries)} tests, {MAX_ENTRIES} at most:'
+            ' fix one'
         )
-    return found
+    return entries
 
 
 def mark(items, entries):
-    """Let a run pass over listed tests that fail, and only while they do.
+    """Mark the listed tests as expected failures.
 
-    A listed test that passes fails the run until it is off the list. So
-    does a line whose test is no longer in its file.
+    A listed test that passes fails the run until its entry is removed, unless
+    it is listed as flaky.
+
+    Raises
+    ------
+    pytest.UsageError
+        If a listed test is no longer in its file.
     """
     files = {item.nodeid.partition('::')[0] for item in items}
     for entry in entries:
-        own = [item for item in items if _is_named(item, entry)]
-        if not own and entry.test.partition('::')[0] in files:
+        named = [item for item in items if _is_named(item, entry)]
+        if not named and entry.test.partition('::')[0] in files:
             raise pytest.UsageError(
                 f'KNOWN-RED.txt: there is no test {entry.test}'
             )
-        for item in own:
+        for item in named:
             reason = f'{entry.cause} ({entry.issue})'
-            is_strict = not entry.cause.startswith(SOMETIMES)
+            is_strict = not entry.cause.startswith(FLAKY_PREFIX)
             item.add_marker(pytest.mark.xfail(reason=reason, strict=is_strict))
 
 
 def _is_named(item, entry):
-    """Whether an entry names a test, with its parameters or without."""
+    """Return whether an entry names a test, with or without parameters."""
     return entry.test in {item.nodeid, item.nodeid.partition('[')[0]}
--- a/tests/scheduler_soak.py
+++ b/tests/scheduler_soak.py
@@ -1,10 +1,9 @@
-"""A soak of the job scheduler: tasks that crash workers, among other faults.
+"""Randomized soak test of the job scheduler with crashing tasks and faults.
 
-A scenario is drawn from a seed: jobs that can be done, jobs one task of which
-crashes each worker that starts it, and faults that come one after the other
-and overlap. It ends with some time without faults. Then every sound job is
-done, every other one is failed, and the history shows nothing that must never
-happen.
+A seed determines a scenario: healthy jobs, jobs with a task that crashes each
+worker that starts it, and overlapping faults. A period without faults follows.
+Then every healthy job must be completed, every crashing one failed, and the
+history must show no violation.
 """
 
 import collections
@@ -26,21 +25,22 @@
 from tulippin.jobs.types import FINAL_STATES, JobState
 from tulippin.platform.standin import check_history
 
-SIZE = 2000
-LONG_MS = 60_000
-LASTS_S = 24
-# What each of a crashing job's starts may take: the wait for a silent worker's
-# lease, and for its next life. A quarter of the workers may be tried at once.
-START_S = 11
-STARTS = 5
-WORKERS = 12
-# Workers that have died under a sound task before it may be given up.
-LOST_UNDER_SOUND = 3
+TASK_MILLICORES = 2000
+LONG_RUN_MS = 60_000
+FAULTS_S = 24
+# Maximum time for each start of a crashing job: the wait for the lease of the
+# silent worker and for its restart. A quarter of the workers may be in use for
+# such starts at once.
+CRASHING_START_S = 11
+MAX_STARTS = 5
+WORKER_COUNT = 12
+# A healthy task that has lost this many workers may be abandoned.
+MIN_LOST_WORKERS = 3
 QUIET_S = 30
-# What a long-running task may be away for once there are no more faults.
-AWAY_S = 15
-AFTER_MS = (0, 10, 60, 400, 1500, 3000)
-WAYS = (
+# Maximum time for long-running tasks to run again after the last fault.
+RECOVERY_S = 15
+CRASH_DELAYS_MS = (0, 10, 60, 400, 1500, 3000)
+CRASHING_JOB_OPTIONS = (
     {},
     {'tasks': 3},
     {'long_running': True},
@@ -67,13 +67,13 @@
 
 @attrs.define
 class Soak:
-    """One play: the fleet, its source of chance, and the jobs handed in."""
+    """State of a scenario: fleet, random source and submitted jobs."""
 
     fleet: object
     source: random.Random
-    sound: list = attrs.field(factory=list)
+    healthy: list = attrs.field(factory=list)
     crashing: list = attrs.field(factory=list)
-    lasting: dict = attrs.field(factory=dict)
+    long_running_jobs: dict = attrs.field(factory=dict)
     starts: int = 0
 
     async def submit(self, job_id, request, queue):
@@ -86,52 +86,54 @@
                 continue
             return
 
-    async def hand_in(self):
-        """Hand in a job every 0.3 s; one in six crashes its workers."""
+    async def submit_jobs(self):
+        """Submit a job every 0.3 s on average; one in six crashes workers."""
         number = 0
-        while trio.current_time() < LASTS_S:
+        while trio.current_time() < FAULTS_S:
             number += 1
             queue = self.source.choice((QUEUE, PATIENT))
             if self.source.random() < 1 / 6:
-                await self._hand_in_crashing(number, queue)
+                await self._submit_crashing(number, queue)
             else:
-                await self._hand_in_sound(number, queue)
+                await self._submit_healthy(number, queue)
             await trio.sleep(0.6 * self.source.random())
 
-    async def _hand_in_sound(self, number, queue):
+    async def _submit_healthy(self, number, queue):
         job_id = f'5{number:015x}'
         lasts = self.source.random() < 0.15
-        step = make_step(self.source.randrange(1, 5), SIZE, long_running=lasts)
+        step = make_step(
+            self.source.randrange(1, 5), TASK_MILLICORES, long_running=lasts
+        )
         request = make_request(
             step,
             run_ms=self.source.randrange(200, 3000),
             lasts=lasts,
-            cpu_millicores=SIZE,
+            cpu_millicores=TASK_MILLICORES,
         )
         if lasts:
-            self.lasting[job_id] = step.task_count
+            self.long_running_jobs[job_id] = step.task_count
         else:
-            self.sound.append(job_id)
+            self.healthy.append(job_id)
         await self.submit(job_id, request, queue)
 
-    async def _hand_in_crashing(self, number, queue):
+    async def _submit_crashing(self, number, queue):
         job_id = f'c{number:015x}'
-        options = dict(self.source.choice(WAYS))
-        step = make_step(options.pop('tasks', 1), SIZE, **options)
+        options = dict(self.source.choice(CRASHING_JOB_OPTIONS))
+        step = make_step(options.pop('tasks', 1), TASK_MILLICORES, **options)
         request = make_request(
             step,
-            run_ms=LONG_MS,
-            crashes_after_ms=self.source.choice(AFTER_MS),
+            run_ms=LONG_RUN_MS,
+            crashes_after_ms=self.source.choice(CRASH_DELAYS_MS),
             lasts=step.long_running,
-            cpu_millicores=0 if step.opportunistic else SIZE,
+            cpu_millicores=0 if step.opportunistic else TASK_MILLICORES,
         )
         self.crashing.append(job_id)
         await self.submit(job_id, request, queue)
 
-    async def disturb(self):
-        """Cause a fault every second or so; they overlap."""
+    async def inject_faults(self):
+        """Inject overlapping faults, one about every 1.2 s."""
         async with trio.open_nursery() as nursery:
-            while trio.current_time() < LASTS_S:
+            while trio.current_time() < FAULTS_S:
                 await trio.sleep(0.4 + 1.6 * self.source.random())
                 fault = self.source.choice(FAULTS)
                 nursery.start_soon(getattr(self, f'_{fault}'))
@@ -209,7 +211,7 @@
         workers = self._pick_workers(4)
         before = [one.room.cpu for one in workers]
         for worker in workers:
-            worker.resize(2 * SIZE)
+            worker.resize(2 * TASK_MILLICORES)
         await trio.sleep(6)
         for worker, cpu_millicores in zip(workers, before, strict=True):
             worker.resize(cpu_millicores)
@@ -230,10 +232,10 @@
                 continue
         return None
 
-    def _may_be_given_up(self, job_id, state):
-        """Whether so many workers died under a task that nobody can tell.
+    def _may_be_abandoned(self, job_id, state):
+        """Return whether a failed job lost enough workers to look crashing.
 
-        The users allow it from two on.
+        The requirements allow to abandon a job from two crashes on.
         """
         lost = collections.Counter(
             event.key
@@ -241,36 +243,40 @@
             if event.kind == 'lost' and event.key.job_id == job_id
         )
         is_failed = state is JobState.FAILED
-        return is_failed and max(lost.values(), default=0) >= LOST_UNDER_SOUND
+        return is_failed and max(lost.values(), default=0) >= MIN_LOST_WORKERS
 
-    async def conclude(self):
-        """Wait for all jobs to end; return what is not as it should be."""
-        ends = dict.fromkeys(self.sound, JobState.COMPLETED)
+    async def collect_violations(self):
+        """Wait for the jobs to reach their states; return all violations."""
+        ends = dict.fromkeys(self.healthy, JobState.COMPLETED)
         ends.update((job_id, JobState.FAILED) for job_id in self.crashing)
         states = {}
-        starts = STARTS * len(self.crashing)
-        with trio.move_on_after(QUIET_S + starts * START_S / (WORKERS / 4)):
+        starts = MAX_STARTS * len(self.crashing)
+        with trio.move_on_after(
+            QUIET_S + starts * CRASHING_START_S / (WORKER_COUNT / 4)
+        ):
             for job_id in ends:
                 while states.get(job_id) not in FINAL_STATES:
                     states[job_id] = await self._read_state(job_id)
                     await trio.sleep(0.1)
-        for job_id in self.lasting:
+        for job_id in self.long_running_jobs:
             ends[job_id] = JobState.RUNNING
             states[job_id] = await self._read_state(job_id)
-        wrong = [
+        violations = [
             f'{job_id} is {states.get(job_id)}'
-            for job_id, wanted in ends.items()
-            if states.get(job_id) is not wanted
-            and not self._may_be_given_up(job_id, states.get(job_id))
+            for job_id, expected in ends.items()
+            if states.get(job_id) is not expected
+            and not self._may_be_abandoned(job_id, states.get(job_id))
         ]
-        with trio.move_on_after(AWAY_S):
-            while self._list_away(states):
+        with trio.move_on_after(RECOVERY_S):
+            while self._list_missing_tasks(states):
                 await trio.sleep(0.2)
-        wrong.extend(f'{name} is away' for name in self._list_away(states))
-        return wrong + check_history(self.fleet.platform.history)
+        violations.extend(
+            f'{name} is away' for name in self._list_missing_tasks(states)
+        )
+        return violations + check_history(self.fleet.platform.history)
 
-    def _list_away(self, states):
-        """Return the long-running tasks that run nowhere."""
+    def _list_missing_tasks(self, states):
+        """Return the long-running tasks without a run."""
         present = {
             key.format()
             for worker in self.fleet.platform.workers.values()
@@ -279,7 +285,7 @@
         }
         names = {
             f'{job_id}.0.0.{index}'
-            for job_id, count in self.lasting.items()
+            for job_id, count in self.long_running_jobs.items()
             if states.get(job_id) is JobState.RUNNING
             for index in range(count)
         }
@@ -287,7 +293,7 @@
 
 
 async def play(seed):
-    """Play a scenario; return what is not as it should be."""
+    """Run the scenario of a seed; return all violations."""
     source = random.Random(seed)
     body = make_config_body(2)
     services = tuple(
@@ -295,7 +301,7 @@
         for one in body.services
     )
     async with open_fleet(
-        instances=3, workers=WORKERS, rack_size=WORKERS
+        instances=3, workers=WORKER_COUNT, rack_size=WORKER_COUNT
     ) as fleet:
         fleet.platform.configure(
             msgspec.structs.replace(body, services=services)
@@ -304,6 +310,6 @@
         fleet.platform.store.source.seed(seed)
         soak = Soak(fleet, source)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(soak.hand_in)
-            nursery.start_soon(soak.disturb)
-        return await soak.conclude()
+            nursery.start_soon(soak.submit_jobs)
+            nursery.start_soon(soak.inject_faults)
+        return await soak.collect_violations()
--- a/tests/silent_proxy.py
+++ b/tests/silent_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose open connections can go silent for good."""
+"""Loopback proxy whose open connections can be blackholed."""
 
 import contextlib
 
@@ -10,19 +10,19 @@
 
 @attrs.define
 class SilentProxy:
-    """Forwards to an address; new connections work at any time."""
+    """Forwards connections to an address; new connections always work."""
 
     target: str
     port: int = 0
     generation: int = 0
-    swallowed_bytes: int = 0
+    discarded_bytes: int = 0
 
     @property
     def address(self):
         return f'127.0.0.1:{self.port}'
 
     def silence(self):
-        """Swallow all that comes on the connections open now."""
+        """Discard all further data of the connections that are open now."""
         self.generation += 1
 
     async def run(self, task_status):
@@ -34,20 +34,20 @@
     async def _forward(self, client):
         host, _, port = self.target.rpartition(':')
         server = await trio.open_tcp_stream(host, int(port))
-        born = self.generation
+        opened_generation = self.generation
         async with server, trio.open_nursery() as nursery:
-            nursery.start_soon(self._pump, client, server, born)
-            await self._pump(server, client, born)
+            nursery.start_soon(self._pump, client, server, opened_generation)
+            await self._pump(server, client, opened_generation)
             nursery.cancel_scope.cancel()
 
-    async def _pump(self, source, sink, born):
+    async def _pump(self, source, sink, opened_generation):
         with contextlib.suppress(trio.BrokenResourceError):
             while True:
                 data = await source.receive_some(CHUNK_BYTES)
-                if self.generation != born:
-                    self.swallowed_bytes += len(data)
+                if self.generation != opened_generation:
+                    self.discarded_bytes += len(data)
                     if not data:
-                        # Not even the end of the connection is told.
+                        # The end of the connection isn't forwarded either.
                         await trio.sleep_forever()
                     continue
                 if not data:
--- a/tests/suspended_instance.py
+++ b/tests/suspended_instance.py
@@ -1,7 +1,7 @@
-"""An instance whose machine can be suspended, in a thread of its own.
+"""Runs an instance in a thread, with a simulated suspend of its machine.
 
-While it is, nothing of it runs and its timers stand; the clock that counts
-suspension, and everyone else, goes on.
+During a suspension its event loop and its timers stand still. The clock that
+counts suspended time, and all other instances, go on.
 """
 
 import contextlib
@@ -14,7 +14,7 @@
 
 @attrs.define
 class SuspendableClock(trio.abc.Clock):
-    """Steady time less the time suspended; the loop stands meanwhile."""
+    """Monotonic clock without suspended time; blocks the loop meanwhile."""
 
     suspended_s: float = 0.0
     _may_run: threading.Event = attrs.field(factory=threading.Event)
@@ -23,37 +23,37 @@
         self._may_run.set()
 
     def start_clock(self):
-        """Begin; nothing is to be done."""
+        """Do nothing: the clock needs no start."""
 
     def current_time(self):
-        """Return the steady time, once the loop may go on."""
+        """Block while suspended, and return the time without suspensions."""
         self._may_run.wait()
         return time.monotonic() - self.suspended_s
 
     def deadline_to_sleep_time(self, deadline):
-        """Return for how long the loop may wait."""
+        """Return the time until a deadline."""
         return deadline - self.current_time()
 
-    async def suspend(self, for_s):
-        """Suspend for a while; to be called from another loop."""
+    async def suspend(self, duration_s):
+        """Suspend the instance for a duration; call from another loop."""
         began = time.monotonic()
         self._may_run.clear()
-        await trio.sleep(for_s)
+        await trio.sleep(duration_s)
         self.suspended_s += time.monotonic() - began
         self._may_run.set()
 
 
 @contextlib.asynccontextmanager
 async def run_suspendable(daemon):
-    """Run a daemon in a thread; yield the clock that can be suspended."""
+    """Run a daemon in a thread, and yield its clock."""
     clock = SuspendableClock()
     started = threading.Event()
-    found = {}
+    handles = {}
 
     async def run():
-        found['token'] = trio.lowlevel.current_trio_token()
-        found['scope'] = trio.CancelScope()
-        with found['scope']:
+        handles['token'] = trio.lowlevel.current_trio_token()
+        handles['scope'] = trio.CancelScope()
+        with handles['scope']:
             async with trio.open_nursery() as nursery:
                 await nursery.start(daemon.run)
                 started.set()
@@ -66,6 +66,6 @@
     try:
         yield clock
     finally:
-        found['token'].run_sync_soon(found['scope'].cancel)
+        handles['token'].run_sync_soon(handles['scope'].cancel)
         with trio.CancelScope(shield=True):
             await trio.to_thread.run_sync(thread.join)
--- a/tests/tests_certificates.py
+++ b/tests/tests_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates made for one test run."""
+"""Creates certificates for a test run."""
 
 import datetime
 import ipaddress
@@ -12,7 +12,7 @@
 
 
 def make_certificate(issuer=None):
-    """Return a certificate and key, signed by an issuer or by itself."""
+    """Return a certificate and its key, signed by an issuer or self-signed."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = NAME if issuer else 'authority'
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
--- a/tests/tulippin/platform/test_caller_deadlines.py
+++ b/tests/tulippin/platform/test_caller_deadlines.py
@@ -1,9 +1,9 @@
-"""Calls whose time is nearly over, over already, or written oddly.
+"""Requests with a short, expired or invalid deadline.
 
-Callers that had tried elsewhere came back with what was left of their time,
-below what is kept back for an answer's way. A hand-in then waited for a
-negative time, which raises: a 500 that named no time to come back, and no log
-line. A time of some thousand digits did the same.
+A caller that retries on another instance sends its remaining time, which may
+be below the time reserved for the reply. A negative timeout raises, as does a
+deadline of thousands of digits: the caller would get a 500 without
+Retry-After, and no log line.
 """
 
 import json
@@ -25,10 +25,10 @@
     'Steps': [{'Count': 1, 'Cpu': 1000, 'MemMb': 100}],
 }
 METHODS = ('POST', 'GET', 'DELETE')
-# Below what a store needs for an answer.
-HOPELESS = (b'0', b'1', b'9', b'-1', b'-3000', b'-' + b'9' * 4301)
+# Below the response time of a store.
+TOO_SHORT = (b'0', b'1', b'9', b'-1', b'-3000', b'-' + b'9' * 4301)
 SHORT = (b'60', b'120', b'250', b'299', b'301', b'599')
-ODD = (
+INVALID = (
     b'',
     b' ',
     b'soon',
@@ -55,7 +55,7 @@
 
 
 async def call(app, method, deadline, path=f'/q/{JOB}', body=BODY):
-    """Send one call as the server would, and return its answer."""
+    """Send one request as the HTTP server does, and return its answer."""
     sent = []
 
     async def receive():
@@ -85,14 +85,16 @@
     return CallersApp(intake, lambda: '')
 
 
-async def is_kept(fleet, job_id=JOB):
+async def is_stored(fleet, job_id=JOB):
     intake = next(iter(fleet.instances.values())).intake
     return await intake.get_state(job_id) is not None
 
 
-@pytest.mark.parametrize('deadline', HOPELESS, ids=lambda text: text[:9])
+@pytest.mark.parametrize('deadline', TOO_SHORT, ids=lambda text: text[:9])
 @pytest.mark.parametrize('method', METHODS)
-def test_call_without_time_is_refused_at_once(run_virtual, method, deadline):
+def test_request_without_time_is_rejected_at_once(
+    run_virtual, method, deadline
+):
     async def run():
         async with open_fleet(1) as fleet:
             await fleet.wait_owner()
@@ -100,16 +102,16 @@
             assert answer.status == 503
             assert answer.headers[b'retry-after'] == b'1'
             assert not answer.took_ms
-            assert not await is_kept(fleet)
+            assert not await is_stored(fleet)
 
     with logbook.TestHandler() as lines:
         run_virtual(run)
-    told = [one for one in lines.records if one.message == 'call abandoned']
-    assert [one.kwargs['job'] for one in told] == [JOB]
+    logged = [one for one in lines.records if one.message == 'call abandoned']
+    assert [one.kwargs['job'] for one in logged] == [JOB]
 
 
 @pytest.mark.parametrize('deadline', SHORT, ids=bytes.decode)
-def test_what_can_be_served_in_a_short_time_is(run_virtual, deadline):
+def test_short_deadline_is_served(run_virtual, deadline):
     async def run():
         async with open_fleet(1) as fleet:
             await fleet.wait_owner()
@@ -122,8 +124,8 @@
     run_virtual(run)
 
 
-@pytest.mark.parametrize('deadline', ODD, ids=lambda text: text[:9])
-def test_odd_deadline_ends_no_call(run_virtual, deadline):
+@pytest.mark.parametrize('deadline', INVALID, ids=lambda text: text[:9])
+def test_invalid_deadline_is_ignored(run_virtual, deadline):
     async def run():
         async with open_fleet(1) as fleet:
             await fleet.wait_owner()
@@ -135,10 +137,10 @@
 
 
 @pytest.mark.parametrize('deadline', [b'100', b'400', b'1700', b'2500'])
-def test_hand_in_before_the_layout_is_known_leaves_no_job(
+def test_submission_before_the_layout_is_known_stores_no_job(
     run_virtual, deadline
 ):
-    """A refusal that says "not run" comes in time, and is true."""
+    """The reply "not run" comes before the deadline and is correct."""
 
     async def run():
         async with open_fleet(1) as fleet:
@@ -151,13 +153,13 @@
             assert answer.status == 503
             assert answer.headers[b'retry-after'] == b'1'
             assert answer.took_ms < int(deadline)
-            assert not await is_kept(fleet)
+            assert not await is_stored(fleet)
 
     run_virtual(run)
 
 
-def test_layout_that_comes_late_leaves_no_time_for_the_store(run_virtual):
-    """What is left after the wait counts, not what there was before it."""
+def test_late_layout_leaves_no_time_for_the_store(run_virtual):
+    """The remaining time after the wait for the layout must suffice."""
 
     async def run():
         async with open_fleet(1) as fleet:
@@ -166,20 +168,20 @@
             instance.shell.laid_out = trio.Event()
             with pytest.raises(UnavailableError):
                 await instance.intake.submit(JOB, QUEUE, make_request(), 18)
-            assert not await is_kept(fleet)
+            assert not await is_stored(fleet)
 
     run_virtual(run)
 
 
 @pytest.mark.parametrize('limit_ms', [-(10**9), -1, 0, 1, 9])
-def test_intake_refuses_what_has_no_time(run_virtual, limit_ms):
+def test_intake_rejects_requests_without_time(run_virtual, limit_ms):
     async def run():
         async with open_fleet(1) as fleet:
             await fleet.wait_owner()
             intake = next(iter(fleet.instances.values())).intake
             with pytest.raises(UnavailableError):
                 await intake.submit(JOB, QUEUE, make_request(), limit_ms)
-            assert not await is_kept(fleet)
+            assert not await is_stored(fleet)
             await fleet.submit()
             with pytest.raises(UnavailableError):
                 await intake.cancel(JOB, QUEUE, limit_ms)
@@ -189,18 +191,18 @@
 
 
 @given(st.binary(max_size=30) | st.integers().map(lambda n: b'%d' % n))
-def test_any_text_gives_a_time_that_can_be_waited_for(text):
+def test_any_header_gives_a_valid_timeout(text):
     limit_ms = read_limit_ms({b'deadline-ms': text})
     assert isinstance(limit_ms, int)
-    # A float's whole numbers end there, and trio's longest waits far below.
+    # Above this a float doesn't hold all integers; trio's limit is far below.
     assert limit_ms < 2**53
     if text.isdigit() and int(text) <= 600_000:
         assert limit_ms < max(1, int(text))
 
 
 @pytest.mark.plants_errors
-def test_fault_of_ours_is_told_and_answered(run_virtual):
-    """What nothing was meant to raise is answered as not known, and told."""
+def test_internal_error_is_logged_and_answered(run_virtual):
+    """An unexpected error gives status 504 and a log line."""
 
     async def run():
         async with open_fleet(1) as fleet:
@@ -214,25 +216,25 @@
 
     with logbook.TestHandler() as lines:
         run_virtual(run)
-    (told,) = [one for one in lines.records if one.message == 'call failed']
-    assert told.kwargs['path'].endswith(JOB)
-    assert told.kwargs['method'] == 'POST'
-    assert 'choose_unit' in told.kwargs['traceback']
+    (logged,) = [one for one in lines.records if one.message == 'call failed']
+    assert logged.kwargs['path'].endswith(JOB)
+    assert logged.kwargs['method'] == 'POST'
+    assert 'choose_unit' in logged.kwargs['traceback']
 
 
 WAITING = 3
 
 
 async def wait_for_jobs(fleet):
-    """Hand in jobs that nothing can run, and wait until all know of them."""
+    """Submit jobs that fit on no worker, and wait until they are loaded."""
     for number in range(WAITING):
         request = make_request(make_step(cpu=10**6))
         await fleet.submit(f'{number:016x}', request)
     await trio.sleep(3)
 
 
-def test_instance_that_has_read_no_lease_counts_no_jobs(run_virtual):
-    """Each of its answers was 0 until then, as if nobody waited."""
+def test_instance_without_leases_returns_no_count(run_virtual):
+    """It must not answer 0 before it has read the leases of the units."""
 
     async def run():
         async with open_fleet(1) as fleet:
@@ -253,7 +255,7 @@
     run_virtual(run)
 
 
-def test_unreadable_lease_of_another_owner_counts_no_jobs(run_virtual):
+def test_unreadable_lease_of_another_owner_returns_no_count(run_virtual):
     async def run():
         async with open_fleet(1) as fleet:
             await wait_for_jobs(fleet)
--- a/tests/tulippin/platform/test_daemon_failures.py
+++ b/tests/tulippin/platform/test_daemon_failures.py
@@ -1,13 +1,9 @@
-"""An error in what an instance does beside its units, and who goes on.
+"""Errors in background tasks and requests of the daemon are contained.
 
-What users would have seen: an instance that ends, with all its units, as its
-settings, its bundles or its log raised an error that nothing expects, and
-again after each start that meets the same; or a call that is answered with
-500, without any line that says why.
-
-Cause: these tasks run directly under the daemon, where an error ends the
-process; and the library that serves calls keeps errors to itself, as its log
-is switched off.
+The tasks for settings, bundles and the log run directly under the daemon:
+without containment an unexpected error ends the process with all its units,
+and again after each restart with the same input. The HTTP server logs no
+errors of its own, so that a request would get a 500 without a log line.
 """
 
 import os
@@ -21,7 +17,7 @@
 
 
 class PlantedError(Exception):
-    """Nothing of the product raises it, or knows it."""
+    """Error that the product neither raises nor handles by name."""
 
 
 async def fail_soon(*_):
@@ -33,17 +29,17 @@
     raise PlantedError
 
 
-async def test_error_in_bundles_ends_nobody(
+async def test_bundle_error_does_not_end_the_instance(
     tmp_path, monkeypatch, told_failures
 ):
     monkeypatch.setattr(scheduler_daemon, 'follow_bundles', fail_soon)
     async with serve(tmp_path) as site:
         await trio.sleep(0.3)
         assert (await site.call('GET', f'/q/{JOB}')).status == 410
-    check_told(told_failures, 'task failed')
+    check_contained(told_failures, 'task failed')
 
 
-async def test_error_in_settings_ends_nobody(
+async def test_settings_error_does_not_end_the_instance(
     tmp_path, monkeypatch, told_failures
 ):
     async with serve(tmp_path) as site:
@@ -51,13 +47,13 @@
         later = os.stat(site.path).st_mtime + 5
         os.utime(site.path, (later, later))
         await trio.sleep(1.3)
-        # As by a signal.
+        # A signal causes the same call.
         site.daemon.reload()
         assert (await site.call('GET', f'/q/{JOB}')).status == 410
-    check_told(told_failures, 'settings failed')
+    check_contained(told_failures, 'settings failed')
 
 
-async def test_error_in_the_log_ends_nobody(
+async def test_log_error_does_not_end_the_instance(
     tmp_path, monkeypatch, told_failures
 ):
     async with serve(tmp_path) as site:
@@ -66,13 +62,13 @@
         await trio.sleep(0.5)
         monkeypatch.setattr(site.lines, 'flush', flush)
         assert (await site.call('GET', f'/q/{JOB}')).status == 410
-    check_told(told_failures, 'task failed')
+    check_contained(told_failures, 'task failed')
 
 
 @pytest.mark.parametrize(
     ('port', 'status'), [('callers', 504), ('internal', 500)]
 )
-async def test_error_in_a_call_is_told(
+async def test_error_in_a_request_is_reported(
     tmp_path, monkeypatch, told_failures, port, status
 ):
     monkeypatch.setattr(JobIntake, 'get_state', fail)
@@ -84,10 +80,10 @@
             'GET', f'/q/{JOB}', port=site.daemon.ports[port]
         )
         assert answer.status == status
-    check_told(told_failures, 'call failed')
+    check_contained(told_failures, 'call failed')
 
 
-def check_told(told_failures, what):
+def check_contained(told_failures, what):
     assert {one.what for one in told_failures} == {what}
     assert all('PlantedError' in repr(one.error) for one in told_failures)
     told_failures.clear()
--- a/tests/tulippin/platform/test_ended_instances.py
+++ b/tests/tulippin/platform/test_ended_instances.py
@@ -1,8 +1,8 @@
-"""What an instance that ends by itself leaves in its log.
+"""Log output of an instance that ends by an error.
 
-The story: instances ended some seconds after each start, and the last line of
-each life was the error's own, without its place; the lines of the moments
-before it were lost. Readers of JSON lines met a traceback of bare text.
+The last lines must reach the reader, and the error must be one JSON line with
+its place: a plain traceback breaks readers of JSON lines, and buffered lines
+from before the error are lost unless the buffer is drained at exit.
 """
 
 import pytest
@@ -25,46 +25,46 @@
 """
 
 
-async def run_planted(tmp_path, planted, pause_s=0):
+async def run_injected(tmp_path, injected, pause_s=0):
     async with StandinServers() as servers:
         path = tmp_path / 'instance.ini'
         path.write_text(SETTINGS.format(store=servers.store_address))
-        return await run_instance('scheduler_daemon', planted, path, pause_s)
+        return await run_instance('scheduler_daemon', injected, path, pause_s)
 
 
-async def test_error_of_a_top_task_is_one_line_with_its_place(tmp_path):
-    ended = await run_planted(tmp_path, FAIL_IN_TASK.format('1 / 0') + BESIDE)
+async def test_error_of_top_level_task_is_one_line_with_its_place(tmp_path):
+    ended = await run_injected(tmp_path, FAIL_IN_TASK.format('1 / 0') + BESIDE)
     assert ended.code == 1
-    told = ended.find('instance failed')
-    assert told['cause'] == "ZeroDivisionError('division by zero')"
-    assert told['place'].endswith(' fail')
-    assert 'ZeroDivisionError' in told['traceback']
+    logged = ended.find('instance failed')
+    assert logged['cause'] == "ZeroDivisionError('division by zero')"
+    assert logged['place'].endswith(' fail')
+    assert 'ZeroDivisionError' in logged['traceback']
     assert ended.find('started')['instance'] == 'edge-1'
 
 
 async def test_lines_before_the_end_reach_a_slow_reader(tmp_path):
-    ended = await run_planted(tmp_path, FAIL_WITH_LINES + BESIDE, pause_s=0.02)
-    planted = [one for one in ended.lines if one['message'] == 'planted']
-    assert [one['number'] for one in planted] == list(range(3000))
+    ended = await run_injected(tmp_path, FAIL_WITH_LINES + BESIDE, pause_s=0.02)
+    injected = [one for one in ended.lines if one['message'] == 'planted']
+    assert [one['number'] for one in injected] == list(range(3000))
     assert ended.find('instance failed')['place'].endswith(' fail')
 
 
-async def test_error_whose_text_is_no_text_is_told(tmp_path):
+async def test_error_with_invalid_unicode_is_logged(tmp_path):
     error = "raise ValueError(chr(0xd800) + 'planted')"
-    ended = await run_planted(tmp_path, FAIL_IN_TASK.format(error) + BESIDE)
+    ended = await run_injected(tmp_path, FAIL_IN_TASK.format(error) + BESIDE)
     assert ended.code == 1
     assert 'planted' in ended.find('instance failed')['traceback']
 
 
-async def test_every_error_of_a_group_is_told(tmp_path):
+async def test_every_error_of_a_group_is_logged(tmp_path):
     error = "raise ExceptionGroup('', [ValueError('one'), KeyError('two')])"
-    ended = await run_planted(tmp_path, FAIL_IN_TASK.format(error) + BESIDE)
-    told = ended.find('instance failed')
-    assert told['cause'] == "ValueError('one')"
-    assert told['other_causes'] == ["KeyError('two')"]
+    ended = await run_injected(tmp_path, FAIL_IN_TASK.format(error) + BESIDE)
+    logged = ended.find('instance failed')
+    assert logged['cause'] == "ValueError('one')"
+    assert logged['other_causes'] == ["KeyError('two')"]
 
 
-async def test_listener_that_is_taken_is_one_line_and_its_own_code(tmp_path):
+async def test_used_listen_address_has_its_own_exit_code(tmp_path):
     async with StandinServers() as servers:
         text = SETTINGS.format(store=servers.store_address)
         path = tmp_path / 'instance.ini'
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize(
     ('error', 'code'), [('raise SystemExit(9)', 9), ('1 / 0', 1)]
 )
-async def test_exit_on_purpose_keeps_its_code(tmp_path, error, code):
-    planted = f'def run(*_): {error}\nmodule.trio.run = run'
-    ended = await run_planted(tmp_path, planted)
+async def test_system_exit_keeps_its_code(tmp_path, error, code):
+    injected = f'def run(*_): {error}\nmodule.trio.run = run'
+    ended = await run_injected(tmp_path, injected)
     assert ended.code == code
--- a/tests/tulippin/platform/test_foreign_entries.py
+++ b/tests/tulippin/platform/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries and rows that another writer put into the platform's store."""
+"""Invalid entries and rows that other writers put into the store."""
 
 import base64
 import json
@@ -17,7 +17,7 @@
 from tulippin.platform.store import PlatformStore
 from tulippin.platform.workers import PlatformWorkers
 
-GOOD = {
+VALID_ENTRY = {
     'Service': 's',
     'Address': '10.0.0.1:8080',
     'Zone': 'z',
@@ -30,8 +30,8 @@
     'ClockMs': 482113,
     'Sequence': 4,
 }
-REQUIRED = sorted(GOOD.keys() - {'ClockMs'})
-NO_ADDRESSES = (
+REQUIRED_FIELDS = sorted(VALID_ENTRY.keys() - {'ClockMs'})
+INVALID_ADDRESSES = (
     '',
     'nowhere',
     ':80',
@@ -55,31 +55,31 @@
     f'{"a" * 64}:80',
     '10.0.0.1:\u0668\u0660',
 )
-NO_IPV6 = ('[::::]:80', '[1.2]:80', '[abc]:80')
-WRONG = {
+INVALID_IPV6_ADDRESSES = ('[::::]:80', '[1.2]:80', '[abc]:80')
+INVALID_BODIES = {
     **{
-        f'{field} is {wrong!r}': {**GOOD, field: wrong}
-        for field in sorted(GOOD)
-        for wrong in (None, {}, [], True, [None])
+        f'{field} is {invalid!r}': {**VALID_ENTRY, field: invalid}
+        for field in sorted(VALID_ENTRY)
+        for invalid in (None, {}, [], True, [None])
     },
     **{
         f'no {field}': {
-            name: value for name, value in GOOD.items() if name != field
+            name: value for name, value in VALID_ENTRY.items() if name != field
         }
-        for field in REQUIRED
+        for field in REQUIRED_FIELDS
     },
     **{
-        f'address {address!r}': {**GOOD, 'Address': address}
-        for address in (*NO_ADDRESSES, *NO_IPV6)
+        f'address {address!r}': {**VALID_ENTRY, 'Address': address}
+        for address in (*INVALID_ADDRESSES, *INVALID_IPV6_ADDRESSES)
     },
     **{
-        f'state {state!r}': {**GOOD, 'State': state}
+        f'state {state!r}': {**VALID_ENTRY, 'State': state}
         for state in ('', 'Ready', 'READY', 'warming', 'ready ', 'gone')
     },
     **{
         f'room {name} {amount!r}': {
-            **GOOD,
-            'Capacity': {**GOOD['Capacity'], name: amount},
+            **VALID_ENTRY,
+            'Capacity': {**VALID_ENTRY['Capacity'], name: amount},
         }
         for name, amounts in (
             ('Cpu', (0, -1, 10**10, 10**30, 1.5, '16000', None, True)),
@@ -88,51 +88,54 @@
         )
         for amount in amounts
     },
-    'no processors': {**GOOD, 'Capacity': {'MemMb': 1}},
-    'no memory': {**GOOD, 'Capacity': {'Cpu': 1}},
-    'labels of numbers': {**GOOD, 'Labels': [1, 2]},
-    'label is nothing': {**GOOD, 'Labels': ['a', None]},
-    'labels are a text': {**GOOD, 'Labels': 'a,r1'},
-    'no service named': {**GOOD, 'Service': ''},
-    'no zone named': {**GOOD, 'Zone': ''},
-    'number for a service': {**GOOD, 'Service': 7},
-    'text for slots': {**GOOD, 'Slots': '8'},
-    'text for sequence': {**GOOD, 'Sequence': 'x'},
-    'text for remaining': {**GOOD, 'RemainingMs': 'soon'},
-    'a list': [GOOD],
+    'no processors': {**VALID_ENTRY, 'Capacity': {'MemMb': 1}},
+    'no memory': {**VALID_ENTRY, 'Capacity': {'Cpu': 1}},
+    'labels of numbers': {**VALID_ENTRY, 'Labels': [1, 2]},
+    'label is nothing': {**VALID_ENTRY, 'Labels': ['a', None]},
+    'labels are a text': {**VALID_ENTRY, 'Labels': 'a,r1'},
+    'no service named': {**VALID_ENTRY, 'Service': ''},
+    'no zone named': {**VALID_ENTRY, 'Zone': ''},
+    'number for a service': {**VALID_ENTRY, 'Service': 7},
+    'text for slots': {**VALID_ENTRY, 'Slots': '8'},
+    'text for sequence': {**VALID_ENTRY, 'Sequence': 'x'},
+    'text for remaining': {**VALID_ENTRY, 'RemainingMs': 'soon'},
+    'a list': [VALID_ENTRY],
     'a text': 'ready',
     'a number': 1,
     'nothing': None,
     'empty': {},
 }
-RAW = {
+INVALID_JSON = {
     'empty': b'',
     'blank': b' ',
     'zeros': b'\0' * 40,
     'random bytes': bytes(range(256)),
-    'cut off': json.dumps(GOOD).encode()[:-9],
-    'not text': json.dumps(GOOD).encode().replace(b'v1', b'\xff\xfe'),
-    'service is not text': json.dumps(GOOD)
+    'cut off': json.dumps(VALID_ENTRY).encode()[:-9],
+    'not text': json.dumps(VALID_ENTRY).encode().replace(b'v1', b'\xff\xfe'),
+    'service is not text': json.dumps(VALID_ENTRY)
     .encode()
     .replace(b'"s"', b'"\xc3\x28"'),
-    'half a pair': json.dumps(GOOD).encode().replace(b'v1', b'\\ud800'),
-    'utf-16': json.dumps(GOOD).encode('utf-16'),
-    'two of them': json.dumps(GOOD).encode() * 2,
-    'deep': json.dumps(GOOD).encode()[:-1]
+    'half a pair': json.dumps(VALID_ENTRY).encode().replace(b'v1', b'\\ud800'),
+    'utf-16': json.dumps(VALID_ENTRY).encode('utf-16'),
+    'two of them': json.dumps(VALID_ENTRY).encode() * 2,
+    'deep': json.dumps(VALID_ENTRY).encode()[:-1]
     + b',"x":'
     + b'[' * 60_000
     + b']' * 60_000
     + b'}',
-    'infinite time': json.dumps(GOOD).encode()[:-1] + b',"RemainingMs":1e999}',
-    'no number': json.dumps(GOOD).encode()[:-1] + b',"RemainingMs":NaN}',
+    'infinite time': json.dumps(VALID_ENTRY).encode()[:-1]
+    + b',"RemainingMs":1e999}',
+    'no number': json.dumps(VALID_ENTRY).encode()[:-1] + b',"RemainingMs":NaN}',
     'xml': b'<worker/>',
-    'json in base64 twice': base64.b64encode(json.dumps(GOOD).encode()),
+    'json in base64 twice': base64.b64encode(json.dumps(VALID_ENTRY).encode()),
 }
-ENTRIES = {
-    **{name: json.dumps(body).encode() for name, body in WRONG.items()},
-    **RAW,
+INVALID_ENTRIES = {
+    **{
+        name: json.dumps(body).encode() for name, body in INVALID_BODIES.items()
+    },
+    **INVALID_JSON,
 }
-NO_BASE64 = (
+INVALID_BASE64 = (
     'no base64!',
     '=',
     'a',
@@ -151,8 +154,8 @@
     store.write('servers', '', worker_id, value)
 
 
-def encode_good(**changes):
-    return json.dumps({**GOOD, **changes}).encode()
+def encode_entry(**changes):
+    return json.dumps({**VALID_ENTRY, **changes}).encode()
 
 
 def make_feeds(store):
@@ -165,7 +168,7 @@
 
 @attrs.define
 class CannedClient:
-    """Answers every call to the store with the same rows."""
+    """HTTP client that answers every store request with the same rows."""
 
     rows: list
     status: int = 200
@@ -190,9 +193,9 @@
 # -- rows of the store -------------------------------------------------------
 
 
-@pytest.mark.parametrize('value', NO_BASE64, ids=repr)
-def test_value_that_is_no_base64_takes_no_other_row_with_it(value):
-    good = base64.b64encode(encode_good()).decode()
+@pytest.mark.parametrize('value', INVALID_BASE64, ids=repr)
+def test_invalid_base64_leaves_other_rows_readable(value):
+    good = base64.b64encode(encode_entry()).decode()
     client = CannedClient(
         [make_wire_row('w0', value), make_wire_row('w1', good)]
     )
@@ -206,13 +209,13 @@
 
     for rows in run_store(client, read):
         assert [row.key for row in rows] == ['w0', 'w1']
-        # It is there: a writer that asks for its absence must be refused.
+        # The row exists: a write that requires its absence must fail.
         assert rows[0].value == b''
         assert rows[0].version == 4
-        assert rows[1].value == encode_good()
+        assert rows[1].value == encode_entry()
 
 
-def test_removed_row_has_no_value_whatever_it_carries():
+def test_removed_row_has_no_value():
     client = CannedClient([make_wire_row('w0', 'no base64!', gone=True)])
 
     async def read(store):
@@ -221,7 +224,7 @@
     assert run_store(client, read)[0].value is None
 
 
-def test_page_of_nothing_that_goes_on_is_no_page():
+def test_empty_page_with_more_rows_is_a_lost_answer():
     async def read(store):
         await store.read_rows('servers', '')
 
@@ -232,35 +235,33 @@
 # -- the list of workers -----------------------------------------------------
 
 
-@pytest.mark.parametrize('name', sorted(ENTRIES))
-def test_wrong_entry_names_no_worker_and_the_others_hold(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(INVALID_ENTRIES))
+def test_invalid_entry_is_skipped(run_virtual, name):
     async def run():
         store = StandinStore()
-        put(store, 'w0', encode_good())
-        put(store, 'w1', ENTRIES[name])
-        put(store, 'w2', encode_good())
+        put(store, 'w0', encode_entry())
+        put(store, 'w1', INVALID_ENTRIES[name])
+        put(store, 'w2', encode_entry())
         entries, _ = await make_feeds(store).read_workers()
         assert list_ids(entries) == ['w0', 'w2']
 
     run_virtual(run)
 
 
-@pytest.mark.parametrize('name', sorted(ENTRIES))
-def test_entry_that_turns_wrong_is_gone_until_it_is_good_again(
-    run_virtual, name
-):
+@pytest.mark.parametrize('name', sorted(INVALID_ENTRIES))
+def test_worker_is_gone_while_its_entry_is_invalid(run_virtual, name):
     async def run():
         store = StandinStore()
         feeds = make_feeds(store)
-        put(store, 'w0', encode_good())
-        put(store, 'w1', encode_good())
+        put(store, 'w0', encode_entry())
+        put(store, 'w1', encode_entry())
         _, after = await feeds.read_workers()
-        put(store, 'w0', ENTRIES[name])
-        put(store, 'w1', encode_good(Sequence=5))
+        put(store, 'w0', INVALID_ENTRIES[name])
+        put(store, 'w1', encode_entry(Sequence=5))
         changed, gone, after = await feeds.follow_workers(after)
         assert list_ids(changed) == ['w1']
         assert gone == ('w0',)
-        put(store, 'w0', encode_good(Sequence=6))
+        put(store, 'w0', encode_entry(Sequence=6))
         changed, gone, _ = await feeds.follow_workers(after)
         assert list_ids(changed) == ['w0']
         assert gone == ()
@@ -272,7 +273,7 @@
 def test_newest_of_several_changes_counts(run_virtual, is_good_last):
     async def run():
         store = StandinStore()
-        values = [b'{', encode_good(), b'{', encode_good()]
+        values = [b'{', encode_entry(), b'{', encode_entry()]
         for value in values if is_good_last else values[:-1]:
             put(store, 'w0', value)
         changed, gone, _ = await make_feeds(store).follow_workers(0)
@@ -300,15 +301,15 @@
         'w' * 201,
     ],
 )
-def test_odd_key_names_no_worker_and_no_other_one(run_virtual, key):
+def test_invalid_key_names_no_worker(run_virtual, key):
     async def run():
         store = StandinStore()
         feeds = make_feeds(store)
-        put(store, 'w0', encode_good())
+        put(store, 'w0', encode_entry())
         _, after = await feeds.read_workers()
-        put(store, key, encode_good(Address='10.6.6.6:1'))
+        put(store, key, encode_entry(Address='10.6.6.6:1'))
         entries, _ = await feeds.read_workers()
-        assert [entry.address for entry in entries] == [GOOD['Address']]
+        assert [entry.address for entry in entries] == [VALID_ENTRY['Address']]
         put(store, key, b'{')
         put(store, key, None)
         changed, gone, _ = await feeds.follow_workers(after)
@@ -320,7 +321,7 @@
 def test_entry_of_another_part_names_no_worker(run_virtual):
     async def run():
         store = StandinStore()
-        store.write('servers', 'elsewhere', 'w0', encode_good())
+        store.write('servers', 'elsewhere', 'w0', encode_entry())
         changed, gone, _ = await make_feeds(store).follow_workers(0)
         assert (changed, gone) == ((), ())
 
@@ -331,7 +332,7 @@
 def test_key_of_a_worker_is_read_with_and_without_its_table(run_virtual, key):
     async def run():
         store = StandinStore()
-        put(store, key, encode_good())
+        put(store, key, encode_entry())
         entries, _ = await make_feeds(store).read_workers()
         assert list_ids(entries) == ['i-7f3a91c2']
 
@@ -339,10 +340,10 @@
 
 
 @pytest.mark.parametrize('address', ['a.example:1', '[::1]:65535', 'h:8080'])
-def test_good_addresses_are_taken(run_virtual, address):
+def test_valid_addresses_are_accepted(run_virtual, address):
     async def run():
         store = StandinStore()
-        put(store, 'w0', encode_good(Address=address, machine='m1'))
+        put(store, 'w0', encode_entry(Address=address, machine='m1'))
         entries, _ = await make_feeds(store).read_workers()
         assert entries[0].address == address
 
@@ -350,10 +351,10 @@
 
 
 @pytest.mark.parametrize('remaining_ms', [-1, -1e300, 0, 0.5])
-def test_worker_past_its_time_drains_with_none_left(run_virtual, remaining_ms):
+def test_negative_remaining_time_counts_as_zero(run_virtual, remaining_ms):
     async def run():
         store = StandinStore()
-        body = encode_good(State='draining', RemainingMs=remaining_ms)
+        body = encode_entry(State='draining', RemainingMs=remaining_ms)
         put(store, 'w0', body)
         entries, _ = await make_feeds(store).read_workers()
         assert entries[0].draining
@@ -362,18 +363,18 @@
     run_virtual(run)
 
 
-def test_wrong_entry_is_logged_when_it_changes(run_virtual):
+def test_invalid_entry_is_logged_when_its_reason_changes(run_virtual):
     async def run():
         store = StandinStore()
         feeds = make_feeds(store)
         after = 0
         for sequence in range(5):
-            put(store, 'w0', encode_good(Sequence=sequence, State='odd'))
-            put(store, 'a/b', encode_good(Sequence=sequence))
+            put(store, 'w0', encode_entry(Sequence=sequence, State='odd'))
+            put(store, 'a/b', encode_entry(Sequence=sequence))
             _, _, after = await feeds.follow_workers(after)
-        put(store, 'w0', encode_good(Address=''))
-        put(store, 'w0', encode_good())
-        put(store, 'w0', encode_good(Address=''))
+        put(store, 'w0', encode_entry(Address=''))
+        put(store, 'w0', encode_entry())
+        put(store, 'w0', encode_entry(Address=''))
         await feeds.follow_workers(after)
 
     with logbook.TestHandler() as handler:
@@ -391,8 +392,8 @@
 # -- the configuration -------------------------------------------------------
 
 
-CONFIGURATIONS = {
-    **RAW,
+INVALID_CONFIGURATIONS = {
+    **INVALID_JSON,
     'no version': b'{}',
     'text for the version': b'{"Version":"2"}',
     'version below none': b'{"Version":-1}',
@@ -405,17 +406,17 @@
 }
 
 
-@pytest.mark.parametrize('name', sorted(CONFIGURATIONS))
-def test_unreadable_configuration_is_none(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(INVALID_CONFIGURATIONS))
+def test_invalid_configuration_is_ignored(run_virtual, name):
     async def run():
         store = StandinStore()
         feeds = make_feeds(store)
-        store.write('op', '', 'config', CONFIGURATIONS[name])
+        store.write('op', '', 'config', INVALID_CONFIGURATIONS[name])
         found, after = await feeds.read_configuration()
         assert found is None
         store.write('op', '', 'config', b'{"Version":3}')
-        store.write('op', '', 'config', CONFIGURATIONS[name])
-        # The good one in between is not lost to the one after it.
+        store.write('op', '', 'config', INVALID_CONFIGURATIONS[name])
+        # The valid version isn't masked by the later invalid one.
         found, after = await feeds.follow_configuration(after, 0)
         assert found.version == 3
 
@@ -425,7 +426,7 @@
     assert lines == ['configuration unreadable'] * 2
 
 
-def test_configuration_of_another_part_is_none(run_virtual):
+def test_configuration_of_another_part_is_ignored(run_virtual):
     async def run():
         store = StandinStore()
         store.write('op', 'elsewhere', 'config', b'{"Version":3}')
@@ -439,8 +440,8 @@
 
 
 @attrs.define
-class Answerer:
-    """Whatever listens at an address that an entry names."""
+class CannedServer:
+    """HTTP client that answers every request with the same body."""
 
     body: bytes
     status: int = 200
@@ -455,12 +456,15 @@
     return json.dumps({'ClockMs': 5, **fields}).encode()
 
 
-REPORTS = {
-    # An entry carries the clock of a report, and what else it carries is
-    # passed over.
-    **{name: body for name, body in RAW.items() if b'ClockMs' not in body},
+INVALID_REPORTS = {
+    # An entry has the clock field of a report; its other fields are ignored.
+    **{
+        name: body
+        for name, body in INVALID_JSON.items()
+        if b'ClockMs' not in body
+    },
     'cut off': make_report()[:-1],
-    'deep': RAW['deep'],
+    'deep': INVALID_JSON['deep'],
     'two of them': make_report() * 2,
     'page': b'<html></html>',
     'no clock': b'{}',
@@ -480,9 +484,9 @@
 }
 
 
-@pytest.mark.parametrize('name', sorted(REPORTS))
-def test_answer_of_something_else_is_no_report(name):
-    client = Answerer(REPORTS[name])
+@pytest.mark.parametrize('name', sorted(INVALID_REPORTS))
+def test_invalid_report_is_rejected(name):
+    client = CannedServer(INVALID_REPORTS[name])
     agents = PlatformWorkers(lambda: client)
 
     async def hold():
@@ -492,9 +496,9 @@
         trio.run(hold)
 
 
-@pytest.mark.parametrize('address', NO_ADDRESSES)
-def test_address_that_is_none_is_never_called(address):
-    client = Answerer(make_report())
+@pytest.mark.parametrize('address', INVALID_ADDRESSES)
+def test_invalid_address_is_never_called(address):
+    client = CannedServer(make_report())
     agents = PlatformWorkers(lambda: client)
 
     async def call():
@@ -508,7 +512,7 @@
 
 
 @pytest.mark.parametrize('host', ['a..b', '[abc', 'a' * 64])
-def test_host_that_is_none_is_an_answer_that_is_lost(host):
+def test_invalid_host_is_unavailable(host):
     async def send():
         async with HttpClient() as client:
             await client.send('GET', f'http://{host}:80/v1/hold')
--- a/tests/tulippin/platform/test_odd_answers.py
+++ b/tests/tulippin/platform/test_invalid_responses.py
@@ -1,9 +1,8 @@
-"""Answers of the store and of the advisor that are none.
+"""Invalid responses of the store and of the advice service.
 
-An answer of a hundred kB of brackets raised what the adapters do not catch,
-in a feed or an effect, and ended the instance. A ticket that is valid for
-longer than the machine runs would be used for ever, also once its worker
-refuses it.
+Deeply nested JSON raises RecursionError, which ends the instance unless the
+adapters handle it. A ticket with an unlimited validity would be used forever,
+also after its worker rejects it.
 """
 
 import contextlib
@@ -22,7 +21,7 @@
 from tulippin.platform.store import PlatformStore
 
 DEEP = b'[' * 60_000
-NONSENSE = {
+INVALID_BODIES = {
     'deep': b'{"rows":[],"good":[],"x":' + DEEP + b']' * 60_000 + b'}',
     'deep value': b'{"rows":[{"Value":' + DEEP + b']' * 60_000 + b'}]}',
     'open': b'{"x":' + DEEP,
@@ -51,8 +50,8 @@
     return trio.run(advisor.ask, ('j', 0, 0), ('w0',))
 
 
-async def use(store):
-    """Make every call, each of which says that its answer is lost."""
+async def call_all(store):
+    """Make every call of the store; each must raise AnswerLostError."""
     calls = (
         (store.read_rows, 'jobs0', 'j0'),
         (store.follow, 'jobs0', 1, 0),
@@ -64,20 +63,20 @@
 
 
 @pytest.mark.parametrize('status', [200, 412])
-@pytest.mark.parametrize('name', sorted(NONSENSE))
-def test_nonsense_of_the_store_is_a_lost_answer(name, status):
-    store = PlatformStore('s:1', CannedClient(NONSENSE[name], status))
-    trio.run(use, store)
+@pytest.mark.parametrize('name', sorted(INVALID_BODIES))
+def test_invalid_store_response_is_a_lost_answer(name, status):
+    store = PlatformStore('s:1', CannedClient(INVALID_BODIES[name], status))
+    trio.run(call_all, store)
 
 
-@pytest.mark.parametrize('name', sorted(set(NONSENSE) - {'deep value'}))
-def test_nonsense_of_the_advisor_is_no_advice(name):
+@pytest.mark.parametrize('name', sorted(set(INVALID_BODIES) - {'deep value'}))
+def test_invalid_advice_response_is_no_advice(name):
     with pytest.raises(UnavailableError):
-        ask(NONSENSE[name])
+        ask(INVALID_BODIES[name])
 
 
 @given(st.binary(max_size=60))
-def test_any_bytes_are_an_answer_or_a_lost_one(body):
+def test_any_bytes_are_valid_or_a_lost_answer(body):
     store = PlatformStore('s:1', CannedClient(body))
     with contextlib.suppress(UnavailableError):
         trio.run(store.read_rows, 'jobs0', 'j0')
@@ -86,8 +85,8 @@
 
 
 @pytest.mark.parametrize('keys', [('a',), ('b', 'a'), ('',)])
-def test_pages_that_do_not_go_on_are_a_lost_answer(keys):
-    """The same page again and again would fill the memory."""
+def test_repeated_pages_are_a_lost_answer(keys):
+    """An endless sequence of the same page would fill the memory."""
     rows = [{'Key': key, 'Value': '', 'ver': 1} for key in keys]
     body = msgspec.json.encode({'rows': rows, 'more': True, 'ver': 1})
     store = PlatformStore('s:1', CannedClient(body))
@@ -100,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    ('told', 'taken'),
+    ('sent_ms', 'expected_ms'),
     [
         ('0', 0),
         ('-1', -1),
@@ -109,8 +108,8 @@
         (str(2**62), 600_000),
     ],
 )
-def test_advice_is_asked_for_again_at_some_time(told, taken):
-    body = b'{"good":[["w0","t"]],"valid_ms":%s}' % told.encode()
+def test_validity_of_advice_is_limited(sent_ms, expected_ms):
+    body = b'{"good":[["w0","t"]],"valid_ms":%s}' % sent_ms.encode()
     advice = ask(body)
-    assert advice.valid_ms == taken
+    assert advice.valid_ms == expected_ms
     assert advice.tickets == {'w0': 't'}
--- a/tests/tulippin/platform/test_platform_daemon.py
+++ b/tests/tulippin/platform/test_platform_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon over the stand-in on loopback, in the platform's words."""
+"""The daemon on the stand-in over loopback HTTP, with platform messages."""
 
 import contextlib
 import json
@@ -127,8 +127,8 @@
         ('soon', 200),
     ],
 )
-async def test_deadline_is_kept_or_refused_at_once(tmp_path, deadline, status):
-    """A short one was a 500, without a time to come back."""
+async def test_deadline_is_met_or_rejected_at_once(tmp_path, deadline, status):
+    """A short deadline must not give a 500 without Retry-After."""
     async with serve(tmp_path) as site:
         headers = {'Deadline-Ms': deadline}
         answer = await site.call('POST', f'/q/{JOB}', BODY, headers=headers)
@@ -163,7 +163,7 @@
         {'Spec': 'x' * 5000, 'Steps': [{'Count': 1}]},
     ],
 )
-async def test_faulty_job_is_refused_and_not_kept(tmp_path, body):
+async def test_invalid_job_is_rejected_and_not_stored(tmp_path, body):
     async with serve(tmp_path) as site:
         answer = await site.call('POST', f'/q/{JOB}', body)
         assert answer.status == 400
@@ -172,7 +172,7 @@
         assert state.status == 410
 
 
-async def test_oversize_headers_are_refused_and_nothing_is_kept(tmp_path):
+async def test_oversize_headers_are_rejected_and_nothing_is_stored(tmp_path):
     async with serve(tmp_path) as site:
         body = make_config_body(version=2)
         limits = msgspec.structs.replace(body.limits, header_bytes=200)
@@ -189,7 +189,7 @@
         assert answer.status == 410
 
 
-async def test_oversize_body_is_refused(tmp_path):
+async def test_oversize_body_is_rejected(tmp_path):
     async with serve(tmp_path) as site:
         body = {'Spec': 'x' * 300_000, 'Steps': [{'Count': 1}]}
         answer = await site.call('POST', f'/q/{JOB}', body)
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.plants_errors
-async def test_refusing_store_means_not_taken(tmp_path):
+async def test_rejecting_store_gives_503(tmp_path):
     async with serve(tmp_path) as site:
         site.servers.platform.store.trouble.refused.add('http')
         answer = await site.call('GET', f'/q/{JOB}')
@@ -215,7 +215,7 @@
         assert answer.headers['retry-after'] == '1'
 
 
-async def test_cancel_is_acknowledged_once_kept(tmp_path):
+async def test_cancel_is_acknowledged_once_stored(tmp_path):
     async with serve(tmp_path) as site:
         body = {**BODY, 'Spec': '{"run_ms":60000}'}
         await site.call('POST', f'/q/{JOB}', body)
@@ -244,7 +244,7 @@
         assert json.loads(bundles.body) == {'bundles': []}
 
 
-async def test_faulty_settings_change_nothing(tmp_path):
+async def test_invalid_settings_are_ignored(tmp_path):
     async with serve(tmp_path) as site:
         before = site.daemon.settings
         site.path.write_text('[instance]\nid = x\n[nonsense]\n')
@@ -253,8 +253,8 @@
 
 
 @pytest.mark.plants_errors
-async def test_settings_that_no_check_foresees_end_nothing(tmp_path):
-    """A digit that is no number, in a changed file, ended the instance."""
+async def test_settings_error_does_not_end_the_instance(tmp_path):
+    """A superscript digit in a changed file must not end the instance."""
     handler = logbook.TestHandler()
     async with serve(tmp_path) as site:
         before = site.daemon.settings
@@ -264,12 +264,12 @@
             site.daemon.reload()
         assert site.daemon.settings is before
         assert (await site.call('GET', '/q/')).status == 200
-    # Whoever reads the file finds out why nothing has changed.
-    told = {one.message for one in handler.records}
-    assert told & {'settings refused', 'settings failed'}
+    # The log says why the settings haven't changed.
+    logged = {one.message for one in handler.records}
+    assert logged & {'settings refused', 'settings failed'}
 
 
-async def test_changed_settings_are_put_in_force(tmp_path):
+async def test_changed_settings_are_applied(tmp_path):
     async with serve(tmp_path) as site:
         text = site.path.read_text().replace('grace_s = 3', 'grace_s = 2')
         site.path.write_text(text)
@@ -277,7 +277,7 @@
         assert site.daemon.settings.grace_ms == 2000
 
 
-async def test_planned_stop_answers_what_comes_meanwhile(tmp_path):
+async def test_planned_stop_answers_requests_meanwhile(tmp_path):
     async with serve(tmp_path) as site:
         site.daemon.stop()
         await trio.sleep(0.1)
@@ -290,12 +290,12 @@
 
 
 @pytest.mark.plants_errors
-async def test_fault_after_a_job_was_kept_is_told_and_not_refused(
+async def test_internal_error_after_a_job_was_stored_gives_504(
     tmp_path, monkeypatch
 ):
-    """A fault of ours once answered 500 with no body and no line.
+    """An internal error after the job was stored gives 504 and a log line.
 
-    The job had been kept before, and ran: no answer may say that it had not.
+    The stored job runs, so that no answer may say that it wasn't accepted.
     """
     submit = JobIntake.submit
 
@@ -309,32 +309,32 @@
         with handler.applicationbound():
             answer = await site.call('POST', f'/q/{JOB}', BODY)
         assert answer.status == 504
-        told_text = json.loads(answer.body)['Error']
-        assert told_text.startswith('internal: ')
-        assert 'may have been done' in told_text
+        error_text = json.loads(answer.body)['Error']
+        assert error_text.startswith('internal: ')
+        assert 'may have been done' in error_text
         await site.wait_state('completed')
-    (told,) = [one for one in handler.records if one.message == 'call failed']
-    assert told.kwargs['path'].endswith(JOB)
+    (logged,) = [one for one in handler.records if one.message == 'call failed']
+    assert logged.kwargs['path'].endswith(JOB)
 
 
-async def test_instance_is_not_ready_before_it_knows_its_units_leases(
+async def test_instance_is_not_ready_before_it_has_read_the_leases(
     tmp_path, monkeypatch
 ):
-    """A ready one refused a first call that asked for counts."""
-    held = []
-    inner = UnitShell.see_rows
+    """Otherwise a ready instance rejects its first request for counts."""
+    delayed = []
+    see_rows = UnitShell.see_rows
 
-    def hold_back(unit, rows):
-        held.append((unit, rows))
+    def delay(unit, rows):
+        delayed.append((unit, rows))
 
-    monkeypatch.setattr(UnitShell, 'see_rows', hold_back)
+    monkeypatch.setattr(UnitShell, 'see_rows', delay)
     async with serve(tmp_path, configure=False) as site:
         site.servers.platform.configure(make_config_body())
         with trio.fail_after(10):
-            while not held:
+            while not delayed:
                 await trio.sleep(0.02)
         assert site.daemon.get_unready() == 'no leases yet'
-        for unit, rows in held:
-            inner(unit, rows)
+        for unit, rows in delayed:
+            see_rows(unit, rows)
         await site.wait_ready(configure=True)
         assert (await site.call('GET', '/q/')).status == 200
--- a/tests/tulippin/platform/test_platform_names.py
+++ b/tests/tulippin/platform/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in their folder; its bodies decode whole."""
+"""Only the platform package uses the platform's names; its bodies decode."""
 
 import pathlib
 import re
@@ -39,7 +39,7 @@
 FORBIDDEN = re.compile('|'.join(NAMES))
 
 
-def test_no_module_outside_knows_the_platforms_names():
+def test_only_the_platform_package_uses_its_names():
     found = [
         f'{path.name}: {match.group()}'
         for path in SOURCES.rglob('*.py')
@@ -49,7 +49,7 @@
     assert found == []
 
 
-def test_job_decodes_into_the_products_words():
+def test_job_decodes():
     request = decode_job(
         b'{"Spec":"s","RepeatCount":2,"StartAtMs":5,"IntervalMs":7,"Steps":['
         b'{"Count":4,"Cpu":500,"MemMb":256,"Gpus":1,"EstimatedMs":900,'
@@ -134,12 +134,12 @@
 
 
 @pytest.mark.parametrize('value', [b'', b'{', b'{"Version":"x"}'])
-def test_unreadable_configuration_is_an_error(value):
+def test_invalid_configuration_is_an_error(value):
     with pytest.raises(wire.msgspec.DecodeError):
         feeds.decode_configuration(value)
 
 
-async def test_reading_of_several_pages_is_as_of_the_first():
+async def test_read_of_several_pages_has_version_of_the_first():
     class Paged(PlatformStore):
         async def _get_page(self, table, part, first, end):
             if first:
--- a/tests/tulippin/platform/test_instance_lives.py
+++ b/tests/tulippin/platform/test_previous_process.py
@@ -1,7 +1,7 @@
-"""How an instance's last life ended is told at its next start.
+"""The end of an instance's previous process is logged at its next start.
 
-The story: `started` after `started`, with nothing between; nobody could tell
-a kill from an error, and a start at the same input ended as the one before.
+Without it a log can't tell a kill from an error, and an instance that fails on
+advisory input fails again at each restart.
 """
 
 import contextlib
@@ -46,7 +46,7 @@
 
 @contextlib.contextmanager
 def listen_silently():
-    """Yield the address of a listener that takes calls and never answers."""
+    """Yield the address of a listener that accepts and never answers."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         host, port = listener.getsockname()
         yield f'{host}:{port}'
@@ -58,14 +58,14 @@
     return path
 
 
-async def run_planted(path, planted):
-    return await run_instance('scheduler_daemon', planted, path)
+async def run_injected(path, injected):
+    return await run_instance('scheduler_daemon', injected, path)
 
 
 @contextlib.asynccontextmanager
-async def open_until(path, message, planted=''):
-    """Open an instance; yield it and its output once it tells a message."""
-    process = await open_instance('scheduler_daemon', planted, path)
+async def open_until(path, message, injected=''):
+    """Start an instance; yield it and its output up to a log message."""
+    process = await open_instance('scheduler_daemon', injected, path)
     try:
         yield process, await read_until(process, message)
     finally:
@@ -73,9 +73,9 @@
 
 
 async def run_until(path, number):
-    """Run an instance and send it a signal once it serves."""
+    """Run an instance, and send it a signal once it has started."""
     async with open_until(path, 'started') as (process, output):
-        # The row of this life is written beside the start.
+        # The record of this process is written concurrently.
         await trio.sleep(0.5)
         process.send_signal(number)
         return await read_to_end(process, output=output)
@@ -84,31 +84,33 @@
 async def test_third_failed_start_in_a_row_begins_without_advice(tmp_path):
     async with StandinServers() as servers:
         path = write_settings(tmp_path, servers.store_address)
-        lives = [await run_planted(path, FAIL + BESIDE) for _ in range(4)]
-    told = [life.find('last life') for life in lives]
-    assert [one['end'] for one in told] == ['none'] + ['failed'] * 3
-    assert [one['failed_starts'] for one in told] == [0, 1, 2, 3]
-    assert told[1]['cause'] == "ZeroDivisionError('division by zero')"
-    assert told[1]['place'].endswith(' fail')
-    assert 400 <= told[1]['lasted_ms'] < 10_000
-    is_without = [life.find('planted')['is_without'] for life in lives]
+        processes = [await run_injected(path, FAIL + BESIDE) for _ in range(4)]
+    logged = [process.find('last life') for process in processes]
+    assert [one['end'] for one in logged] == ['none'] + ['failed'] * 3
+    assert [one['failed_starts'] for one in logged] == [0, 1, 2, 3]
+    assert logged[1]['cause'] == "ZeroDivisionError('division by zero')"
+    assert logged[1]['place'].endswith(' fail')
+    assert 400 <= logged[1]['lasted_ms'] < 10_000
+    is_without = [
+        process.find('planted')['is_without'] for process in processes
+    ]
     assert is_without == [False, False, False, True]
-    assert told[3]['is_without_advice'] is True
+    assert logged[3]['is_without_advice'] is True
 
 
 @pytest.mark.parametrize(
     ('number', 'end', 'code'),
     [(signal.SIGTERM, 'planned', 0), (signal.SIGKILL, 'unknown', -9)],
 )
-async def test_stop_and_kill_are_told_apart(tmp_path, number, end, code):
+async def test_stop_and_kill_are_distinguished(tmp_path, number, end, code):
     async with StandinServers() as servers:
         path = write_settings(tmp_path, servers.store_address)
         first = await run_until(path, number)
-        second = await run_planted(path, FAIL + BESIDE)
+        second = await run_injected(path, FAIL + BESIDE)
     assert first.code == code
-    told = second.find('last life')
-    assert told['end'] == end
-    assert told['lasted_ms'] > 0
+    logged = second.find('last life')
+    assert logged['end'] == end
+    assert logged['lasted_ms'] > 0
 
 
 async def test_second_stop_signal_during_the_stop_changes_nothing(tmp_path):
@@ -119,33 +121,33 @@
                 process.send_signal(signal.SIGTERM)
                 await trio.sleep(0.01)
             first = await read_to_end(process, output=output)
-        second = await run_planted(path, FAIL + BESIDE)
+        second = await run_injected(path, FAIL + BESIDE)
     assert first.code == 0
     assert second.find('last life')['end'] == 'planned'
 
 
-async def test_silent_store_delays_the_end_by_little(tmp_path):
+async def test_unresponsive_store_delays_exit_only_briefly(tmp_path):
     with listen_silently() as silent:
         async with StandinServers() as servers:
             path = write_settings(tmp_path, servers.store_address)
-            planted = FAIL_BESIDE_SILENCE.format(silent, 0.3) + BESIDE
-            ended = await run_planted(path, planted)
-            again = await run_planted(path, FAIL + BESIDE)
+            injected = FAIL_BESIDE_SILENCE.format(silent, 0.3) + BESIDE
+            ended = await run_injected(path, injected)
+            again = await run_injected(path, FAIL + BESIDE)
     assert ended.code == 1
     assert ended.find('instance failed')
-    # The row still says that the life had begun.
+    # The row has only the start of the process.
     assert again.find('last life')['end'] == 'unknown'
     assert again.find('last life')['failed_starts'] == 1
 
 
-async def test_signal_during_the_last_write_ends_at_once(tmp_path):
+async def test_signal_during_the_last_write_ends_the_process(tmp_path):
     with listen_silently() as silent:
         async with StandinServers() as servers:
             path = write_settings(tmp_path, servers.store_address)
-            planted = FAIL_BESIDE_SILENCE.format(silent, 60) + BESIDE
-            opened = open_until(path, 'instance failed', planted)
+            injected = FAIL_BESIDE_SILENCE.format(silent, 60) + BESIDE
+            opened = open_until(path, 'instance failed', injected)
             async with opened as (process, output):
-                # The write begins right after the line.
+                # The write begins right after the log line.
                 await trio.sleep(0.5)
                 began_s = time.monotonic()
                 process.send_signal(signal.SIGTERM)
@@ -165,7 +167,9 @@
     assert len(reasons) == 2
 
 
-async def test_silent_store_does_not_delay_serving(tmp_path, monkeypatch):
+async def test_unresponsive_store_does_not_delay_listeners(
+    tmp_path, monkeypatch
+):
     monkeypatch.setattr(scheduler_daemon, '_PREVIOUS_RECORD_TIMEOUT_S', 60)
     monkeypatch.setattr(scheduler_daemon, '_STORE_TIMEOUT_S', 60)
     with listen_silently() as silent:
@@ -187,11 +191,11 @@
     assert answer.headers['retry-after'] == '1'
 
 
-async def test_operators_see_the_last_life(tmp_path):
+async def test_operators_see_the_previous_process(tmp_path):
     async with serve(tmp_path) as site:
         port = site.daemon.ports['internal']
-        lives = await site.call('GET', '/v1/lives', port=port)
-        (shown,) = json.loads(lives.body)['lives']
+        response = await site.call('GET', '/v1/lives', port=port)
+        (shown,) = json.loads(response.body)['lives']
         assert shown['end'] == 'none'
         dump = await site.call('GET', '/v1/dump', port=port)
         assert json.loads(dump.body)['lives'] == [shown]
--- a/tests/tulippin/platform/test_silent_connections.py
+++ b/tests/tulippin/platform/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections go silent for good, without a reset; new ones work."""
+"""Open connections are blackholed without a reset; new ones work."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 
 STORE_TIMEOUT_S = 0.4
 WAIT_MS = 800
-# What a call may take beyond its own limit on a busy machine.
+# Tolerance above the timeout of a call on a busy machine.
 SLACK_S = 0.6
 
 
@@ -49,7 +49,7 @@
                 await store.read_rows('units', 'u0')
         with trio.fail_after(SLACK_S):
             await store.read_rows('units', 'u0')
-        assert proxy.swallowed_bytes
+        assert proxy.discarded_bytes
 
 
 async def test_feed_that_waits_on_a_silent_connection_ends():
@@ -71,7 +71,7 @@
         assert caught
 
 
-async def test_write_on_a_silent_connection_is_told_as_open():
+async def test_write_on_a_silent_connection_is_in_doubt():
     async with open_store() as (store, proxy):
         write = Transaction('p', (), (RowWrite('t', 'key', b'value'),))
         await store.transact(write)
@@ -99,7 +99,7 @@
             await workers.forget(name)
 
 
-async def test_job_is_taken_though_all_connections_to_the_store_go_silent(
+async def test_job_is_accepted_after_all_store_connections_go_silent(
     tmp_path,
 ):
     async with open_proxy('') as proxy, serve(tmp_path, proxy=proxy) as site:
@@ -109,7 +109,7 @@
         other = f'{JOB[:-1]}b'
         answer = await site.call('POST', f'/q/{other}', BODY)
         assert answer.status == 200
-        assert proxy.swallowed_bytes
+        assert proxy.discarded_bytes
 
 
 async def test_owner_keeps_its_unit_over_silent_connections(tmp_path):
--- a/tests/tulippin/platform/test_start.py
+++ b/tests/tulippin/platform/test_start.py
@@ -1,13 +1,13 @@
-"""What an instance loads at its start."""
+"""Modules that an instance loads at its start."""
 
 import subprocess
 import sys
 
 import pytest
 
-# Modules that most instances never use: each costs every start some time.
-# Without the product's own messages the start took 0.78 s of processor time
-# in place of 0.87 (means of three).
+# Modules that most instances never use, and that slow down every start.
+# Without the product's messages a start takes 0.78 s of processor time instead
+# of 0.87 s.
 UNUSED = (
     'cryptography',
     'matplotlib',
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize('name', UNUSED)
-def test_start_loads_nothing_that_it_may_never_use(name):
+def test_start_does_not_load_unused_modules(name):
     lines = (
         'import sys',
         'import tulippin.scheduler_daemon',
--- a/tests/tulippin/platform/test_suspension.py
+++ b/tests/tulippin/platform/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine is suspended for seconds: timers stand, the clock goes on."""
+"""Suspend of a machine for seconds: timers stop, the wall clock goes on."""
 
 import json
 import os
@@ -40,7 +40,7 @@
 
 SUSPENDED_S = 5.0
 JOB = '00112233445566aa'
-LATER = '00112233445566bb'
+LATER_JOB = '00112233445566bb'
 NOW_MS = 100_000
 KEY = TaskKey(JOB, 0, 0, 0)
 
@@ -90,8 +90,8 @@
             await trio.sleep(0.05)
 
 
-async def test_suspended_owner_is_succeeded_and_serves_again(tmp_path):
-    """It woke up as owner, and goes on as one that has been succeeded."""
+async def test_suspended_owner_is_replaced_and_serves_again(tmp_path):
+    """After its resume it must notice that another instance took over."""
     reader, writer = os.pipe()
     lines = LineBuffer(writer, {})
     async with StandinServers() as servers, HttpClient(2.0) as client:
@@ -113,17 +113,17 @@
                 await call(client, first, 'POST', f'/q/{JOB}', make_body(6000))
                 await trio.sleep(0.7)
                 await clock.suspend(SUSPENDED_S)
-                # Others went on meanwhile.
+                # The other instance took over during the suspension.
                 assert list_owners(other) == [0]
                 with trio.fail_after(2):
                     answer = await call(
-                        client, first, 'POST', f'/q/{LATER}', make_body(100)
+                        client, first, 'POST', f'/q/{LATER_JOB}', make_body(100)
                     )
                 assert answer.status == 200
                 await trio.sleep(1)
                 assert list_owners(first, other) == [1]
                 for daemon in (first, other):
-                    await wait_completed(client, daemon, LATER)
+                    await wait_completed(client, daemon, LATER_JOB)
                     await wait_completed(client, daemon, JOB)
                 assert check_history(servers.platform.history) == []
                 nursery.cancel_scope.cancel()
@@ -137,7 +137,7 @@
 
 
 async def answer_once(stream):
-    """Answer, and drop what comes after: the peer gave the connection up."""
+    """Answer one request and ignore later ones, as after a lost connection."""
     await stream.receive_some(65536)
     await stream.send_all(ANSWER)
     await trio.sleep_forever()
@@ -167,10 +167,10 @@
 
 
 async def test_connection_that_looks_alive_would_be_used(monkeypatch):
-    async def use_it(client):
+    async def skip_renewal(client):
         await trio.lowlevel.checkpoint()
 
-    monkeypatch.setattr(HttpClient, '_renew', use_it)
+    monkeypatch.setattr(HttpClient, '_renew', skip_renewal)
     assert await loses_answer_after_suspension(monkeypatch)
 
 
@@ -179,7 +179,7 @@
 
 @attrs.define
 class Agents:
-    """Takes every order to start."""
+    """Worker agents that accept every start order."""
 
     orders: list = attrs.field(factory=list)
 
@@ -190,7 +190,7 @@
 
 @attrs.define
 class Shell:
-    """What an effect needs of a unit's shell."""
+    """Minimal shell of a unit for running effects."""
 
     now_ms: int
     workers: Agents = attrs.field(factory=Agents)
@@ -213,7 +213,7 @@
 
 @pytest.mark.parametrize(('waited_ms', 'is_sent'), [(0, True), (5000, False)])
 async def test_order_is_sent_only_in_its_time(waited_ms, is_sent):
-    """One that was given before a suspension is decided anew after it."""
+    """An order from before a suspension must not be sent after it."""
     shell = Shell(NOW_MS + waited_ms)
     await _run_start(StartRun(make_order(), NOW_MS + 1800), shell)
     assert bool(shell.workers.orders) is is_sent
@@ -241,7 +241,7 @@
 
 
 def wake(state):
-    """Let a suspension pass, and an answer come that was under way."""
+    """Resume after a suspension, and receive an answer from before it."""
     core.reduce(state, Ticked(NOW_MS + 5000, NOW_MS + 5000))
     report = WorkerReport(1000)
     event = WorkerAnswered(state.now_ms, 'w0', NOW_MS - 300, report)
--- a/tests/tulippin/test_scheduler_process_records.py
+++ b/tests/tulippin/test_scheduler_process_records.py
@@ -1,8 +1,8 @@
-"""What an instance keeps of its lives, over the stand-in of the store.
+"""Process records of an instance on the stand-in of the store.
 
-The story: `started` came after `started` with nothing between, on every
-instance. Nobody could tell a kill from an error of ours, nor that the same
-instance had begun again and again within seconds.
+Guards against restarts that leave no trace: without these records a log shows
+`started` after `started`, and neither tells a kill from an internal error nor
+shows that an instance restarts every few seconds.
 """
 
 import attrs
@@ -32,21 +32,21 @@
 
 @attrs.define
 class Site:
-    """A store, a time of day, and an instance's lives on them."""
+    """A store, a wall clock, and the processes of an instance."""
 
     store: StandinStore = attrs.field(factory=StandinStore)
     wall_ms: int = BEGAN_MS
-    life_count: int = 0
+    process_count: int = 0
 
     def read_wall_ms(self):
         return self.wall_ms
 
     def make_recorder(self, instance_id=INSTANCE):
-        self.life_count += 1
+        self.process_count += 1
         return ProcessRecorder(
             self.store.get_view(instance_id),
             instance_id,
-            f'{instance_id}:{self.life_count}',
+            f'{instance_id}:{self.process_count}',
             self.read_wall_ms,
         )
 
@@ -55,8 +55,8 @@
         await recorder.begin()
         return recorder
 
-    async def live(self, for_ms, error=None):
-        """Live for a while and end; without an error by a planned stop."""
+    async def run_process(self, for_ms, error=None):
+        """Run a process that ends by an error or by a planned stop."""
         recorder = await self.begin()
         self.wall_ms += for_ms
         if error is None:
@@ -64,14 +64,14 @@
         else:
             await recorder.end_failed(error)
 
-    async def be_killed(self, for_ms):
+    async def run_and_kill(self, for_ms):
         await self.begin()
         self.wall_ms += for_ms
 
     def get_row(self, instance_id=INSTANCE):
         key = get_record_key(instance_id)
-        place = (PROCESS_RECORDS_TABLE, get_record_part(instance_id), key)
-        return self.store.rows.get(place)
+        row_key = (PROCESS_RECORDS_TABLE, get_record_part(instance_id), key)
+        return self.store.rows.get(row_key)
 
     def read(self):
         return read_record(self.get_row(), ProcessRecord)
@@ -79,7 +79,7 @@
 
 @attrs.define
 class SlowReading:
-    """A store whose readings are made late."""
+    """Store that delays reads until `may_answer` is set."""
 
     store: object
     may_answer: trio.Event = attrs.field(factory=trio.Event)
@@ -104,7 +104,7 @@
 
 @pytest.fixture
 def run(run_virtual):
-    """Return a runner of a function with a site; it returns log records."""
+    """Return a function that runs a scenario and returns its log records."""
 
     def run_with_site(function):
         with logbook.TestHandler() as handler:
@@ -114,58 +114,58 @@
     return run_with_site
 
 
-def list_told(records):
+def list_logged(records):
     return [one.kwargs for one in records if one.message == 'last life']
 
 
-def test_first_life_has_none_before_it(run):
-    async def play(site):
+def test_first_process_has_no_predecessor(run):
+    async def scenario(site):
         recorder = await site.begin()
         assert recorder.last.end is ProcessEnd.NONE
         assert recorder.failed_starts == 0
 
-    (told,) = list_told(run(play))
-    assert told['end'] == 'none'
+    (logged,) = list_logged(run(scenario))
+    assert logged['end'] == 'none'
 
 
-def test_planned_stop_is_told_with_its_length(run):
-    async def play(site):
-        await site.live(60_000)
+def test_planned_stop_is_logged_with_duration(run):
+    async def scenario(site):
+        await site.run_process(60_000)
         await site.begin()
 
-    told = list_told(run(play))[-1]
-    assert told['end'] == 'planned'
-    assert told['lasted_ms'] == 60_000
-    assert told['failed_starts'] == 0
+    logged = list_logged(run(scenario))[-1]
+    assert logged['end'] == 'planned'
+    assert logged['lasted_ms'] == 60_000
+    assert logged['failed_starts'] == 0
 
 
-def test_failure_is_told_with_cause_and_place(run):
-    async def play(site):
-        await site.live(60_000, make_error())
+def test_failure_is_logged_with_cause_and_place(run):
+    async def scenario(site):
+        await site.run_process(60_000, make_error())
         await site.begin()
 
-    told = list_told(run(play))[-1]
-    assert told['end'] == 'failed'
-    assert told['cause'] == "ZeroDivisionError('division by zero')"
-    assert told['place'].endswith('divide')
-    assert told['last_session'] == 'edge-1:1'
-    # It lasted: the next start is none of a row of failed ones.
-    assert told['failed_starts'] == 0
+    logged = list_logged(run(scenario))[-1]
+    assert logged['end'] == 'failed'
+    assert logged['cause'] == "ZeroDivisionError('division by zero')"
+    assert logged['place'].endswith('divide')
+    assert logged['last_session'] == 'edge-1:1'
+    # It ran for long enough, so that it doesn't count as a failed start.
+    assert logged['failed_starts'] == 0
 
 
-def test_kill_is_unknown_and_lasted_at_most_until_now(run):
-    async def play(site):
-        await site.be_killed(3000)
+def test_kill_is_logged_as_unknown_with_maximum_duration(run):
+    async def scenario(site):
+        await site.run_and_kill(3000)
         await site.begin()
 
-    told = list_told(run(play))[-1]
-    assert told['end'] == 'unknown'
-    assert told['lasted_ms'] == 3000
-    assert told['failed_starts'] == 1
+    logged = list_logged(run(scenario))[-1]
+    assert logged['end'] == 'unknown'
+    assert logged['lasted_ms'] == 3000
+    assert logged['failed_starts'] == 1
 
 
 def test_third_failed_start_in_a_row_begins_without_advice(run):
-    async def play(site):
+    async def scenario(site):
         for is_without in (False, False, False, True):
             recorder = site.make_recorder()
             await recorder.begin()
@@ -173,48 +173,48 @@
             site.wall_ms += 5000
             await recorder.end_failed(make_error())
 
-    told = list_told(run(play))
-    assert [one['failed_starts'] for one in told] == [0, 1, 2, 3]
-    assert [one['is_without_advice'] for one in told] == [False] * 3 + [True]
+    logged = list_logged(run(scenario))
+    assert [one['failed_starts'] for one in logged] == [0, 1, 2, 3]
+    assert [one['is_without_advice'] for one in logged] == [False] * 3 + [True]
 
 
 @pytest.mark.parametrize('kind', ['planned', 'lasting', 'clock_set_back'])
-def test_row_of_failed_starts_ends(run, kind):
-    async def play(site):
+def test_count_of_failed_starts_is_reset(run, kind):
+    async def scenario(site):
         for _ in range(3):
-            await site.live(5000, make_error())
+            await site.run_process(5000, make_error())
         if kind == 'planned':
-            await site.live(100)
+            await site.run_process(100)
         elif kind == 'lasting':
-            await site.live(600_000, make_error())
+            await site.run_process(600_000, make_error())
         else:
-            await site.live(-600_000, make_error())
+            await site.run_process(-600_000, make_error())
         recorder = await site.begin()
         assert recorder.failed_starts == 0
         assert not recorder.decide_without_advice()
 
-    run(play)
+    run(scenario)
 
 
-@pytest.mark.parametrize('trouble', ['refused', 'silenced'])
-def test_store_that_is_away_ends_nothing(run, trouble):
-    async def play(site):
-        getattr(site.store.trouble, trouble).add('*')
+@pytest.mark.parametrize('fault', ['refused', 'silenced'])
+def test_unavailable_store_does_not_end_the_process(run, fault):
+    async def scenario(site):
+        getattr(site.store.trouble, fault).add('*')
         recorder = site.make_recorder()
         await recorder.begin()
         assert recorder.read_finished.is_set()
         assert not recorder.decide_without_advice()
         await recorder.end_planned()
 
-    records = run(play)
+    records = run(scenario)
     reasons = [one for one in records if one.message == 'life not kept']
     assert len(reasons) == 2
-    assert not list_told(records)
+    assert not list_logged(records)
 
 
-def test_life_begun_without_the_store_counts_once_it_is_back(run):
-    async def play(site):
-        await site.live(5000, make_error())
+def test_start_without_store_counts_once_store_answers(run):
+    async def scenario(site):
+        await site.run_process(5000, make_error())
         site.store.trouble.refused.add('*')
         recorder = await site.begin()
         site.store.trouble.refused.clear()
@@ -222,38 +222,38 @@
         await recorder.end_failed(make_error())
         assert (await site.begin()).failed_starts == 2
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.plants_errors
-def test_fault_of_the_keeping_is_told_and_ends_nothing(run):
-    async def play(site):
+def test_internal_error_is_logged_and_contained(run):
+    async def scenario(site):
         recorder = site.make_recorder()
         recorder.store = None
         await recorder.begin()
         await recorder.end_planned()
 
-    records = run(play)
+    records = run(scenario)
     assert [one.message for one in records] == ['life not kept'] * 2
     assert all('AttributeError' in one.kwargs['cause'] for one in records)
 
 
-def test_lost_answer_of_the_first_write_does_not_lose_the_end(run):
-    async def play(site):
+def test_end_is_stored_after_lost_answer_of_first_write(run):
+    async def scenario(site):
         site.store.trouble.lost_answer_share = 1.0
         recorder = await site.begin()
         site.store.trouble.lost_answer_share = 0.0
         await recorder.end_failed(make_error())
         assert site.read().end is ProcessEnd.FAILED
 
-    run(play)
+    run(scenario)
 
 
-def test_life_that_ends_before_it_was_kept_is_not_its_own_last(run):
-    """A stop came while the first reading was still on its way."""
+def test_stop_during_first_read_keeps_previous_process(run):
+    """The stop comes while the first read is in progress."""
 
-    async def play(site):
-        await site.live(60_000)
+    async def scenario(site):
+        await site.run_process(60_000)
         site.store.trouble.silenced.add('*')
         recorder = site.make_recorder()
         async with trio.open_nursery() as nursery:
@@ -265,12 +265,12 @@
         assert site.read().session_id == 'edge-1:2'
         assert site.read().end is ProcessEnd.PLANNED
 
-    assert len(list_told(run(play))) == 2
+    assert len(list_logged(run(scenario))) == 2
 
 
-def test_reading_that_comes_after_the_end_is_not_heeded(run):
-    async def play(site):
-        await site.live(60_000)
+def test_read_after_the_end_is_ignored(run):
+    async def scenario(site):
+        await site.run_process(60_000)
         recorder = site.make_recorder()
         reading = SlowReading(recorder.store)
         recorder.store = reading
@@ -282,13 +282,13 @@
         assert recorder.last.last_session == 'edge-1:1'
         assert site.read().end is ProcessEnd.PLANNED
 
-    assert len(list_told(run(play))) == 2
+    assert len(list_logged(run(scenario))) == 2
 
 
-def test_end_of_an_older_life_does_not_touch_a_newer_one(run):
-    """A replacement begins while its forerunner is still leaving."""
+def test_end_of_older_process_keeps_row_of_newer_one(run):
+    """The next process starts while the previous one is stopping."""
 
-    async def play(site):
+    async def scenario(site):
         older = await site.begin()
         newer = await site.begin()
         await older.end_planned()
@@ -296,21 +296,21 @@
         await newer.end_planned()
         assert site.read().end is ProcessEnd.PLANNED
 
-    run(play)
+    run(scenario)
 
 
 def test_failure_during_a_planned_stop_is_a_failure(run):
-    async def play(site):
+    async def scenario(site):
         recorder = await site.begin()
         await recorder.end_planned()
         await recorder.end_failed(make_error())
         assert site.read().end is ProcessEnd.FAILED
 
-    run(play)
+    run(scenario)
 
 
-def test_restart_storm_costs_one_reading_and_one_write_each(run):
-    async def play(site):
+def test_restart_storm_costs_one_read_and_one_write_each(run):
+    async def scenario(site):
         names = [f'edge-{number}' for number in range(97)]
         site.store.trouble.write_s = 0.3
         began_s = trio.current_time()
@@ -318,15 +318,15 @@
             for name in names:
                 nursery.start_soon(site.begin, name)
         assert site.store.call_count == 2 * len(names)
-        # No write waits for another instance's.
+        # Writes of different instances aren't serialized.
         assert trio.current_time() - began_s < 0.5
         assert all(site.get_row(name) for name in names)
 
-    run(play)
+    run(scenario)
 
 
 def test_long_ids_have_rows_of_their_own(run):
-    async def play(site):
+    async def scenario(site):
         names = ['x' * 3000 + end for end in 'ab']
         for name in names:
             await site.begin(name)
@@ -336,10 +336,10 @@
         recorder = await site.begin(names[0])
         assert recorder.last.end is ProcessEnd.UNKNOWN
 
-    run(play)
+    run(scenario)
 
 
-FOREIGN = (
+INVALID_ROWS = (
     b'',
     b'[]',
     b'{"instance_id": 5}',
@@ -351,9 +351,9 @@
 )
 
 
-@pytest.mark.parametrize('value', FOREIGN)
-def test_foreign_row_under_our_key_is_told_and_replaced(run, value):
-    async def play(site):
+@pytest.mark.parametrize('value', INVALID_ROWS)
+def test_invalid_row_is_logged_and_replaced(run, value):
+    async def scenario(site):
         part = get_record_part(INSTANCE)
         site.store.write(
             PROCESS_RECORDS_TABLE, part, get_record_key(INSTANCE), value
@@ -362,12 +362,12 @@
         assert recorder.last.end is ProcessEnd.NONE
         assert site.read().session_id == 'edge-1:1'
 
-    records = run(play)
+    records = run(scenario)
     assert [one.message for one in records].count('row unreadable') == 1
 
 
-def test_foreign_row_after_the_start_is_left_alone(run):
-    async def play(site):
+def test_foreign_row_after_the_start_is_not_replaced(run):
+    async def scenario(site):
         recorder = await site.begin()
         part = get_record_part(INSTANCE)
         site.store.write(
@@ -376,13 +376,13 @@
         await recorder.end_planned()
         assert site.get_row().value == b'[]'
 
-    assert run(play)[-1].message == 'life not kept'
+    assert run(scenario)[-1].message == 'life not kept'
 
 
-def test_late_answer_changes_nothing_that_was_begun(run):
-    async def play(site):
+def test_late_read_does_not_change_the_decision(run):
+    async def scenario(site):
         for _ in range(3):
-            await site.live(5000, make_error())
+            await site.run_process(5000, make_error())
         site.store.trouble.silenced.add('*')
         recorder = site.make_recorder()
         async with trio.open_nursery() as nursery:
@@ -394,9 +394,9 @@
         assert not later.decide_without_advice()
         await later.begin()
 
-    told = list_told(run(play))[-1]
-    assert told['failed_starts'] >= 3
-    assert told['is_without_advice'] is False
+    logged = list_logged(run(scenario))[-1]
+    assert logged['failed_starts'] >= 3
+    assert logged['is_without_advice'] is False
 
 
 TIMES = st.integers(-(10**13), 10**13)
@@ -409,10 +409,10 @@
     st.text(max_size=3000),
     st.integers(0, 5),
 )
-def test_what_is_written_reads_back(name, began_ms, lasted_ms, text, count):
+def test_written_records_are_valid(name, began_ms, lasted_ms, text, count):
     site = Site(wall_ms=began_ms)
 
-    async def play():
+    async def scenario():
         for _ in range(count):
             await site.begin(name)
         recorder = await site.begin(name)
@@ -420,7 +420,7 @@
         await recorder.end_failed(ValueError(text))
 
     with logbook.TestHandler() as handler:
-        trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
+        trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
     messages = [one.message for one in handler.records]
     assert 'row unreadable' not in messages
     assert 'life not kept' not in messages
--- a/tests/unit_on_paper.py
+++ b/tests/unit_on_paper.py
@@ -1,7 +1,7 @@
-"""A unit with its rows and workers, on which generated steps are taken.
+"""Simulated unit for property tests: its rows, its workers and its owner.
 
-The reducer is driven through its events alone. Each record that it has
-written is read back as its readers would read it.
+The tests apply generated steps to it. The reducer is driven by events only,
+and each record that it writes is decoded and validated as its readers do.
 """
 
 import types
@@ -54,32 +54,34 @@
 WALL_MS = 1_764_000_000_000
 SMALL = Resources(1000, 1000)
 LARGE = Resources(4000, 1000)
-SERVED = Step(2, SMALL, long_running=True, target_ms=50, image='web')
-FILLING = Step(3, SMALL, opportunistic=True, image='batch', checkpointing=True)
+SERVICE_STEP = Step(2, SMALL, long_running=True, target_ms=50, image='web')
+OPPORTUNISTIC_STEP = Step(
+    3, SMALL, opportunistic=True, image='batch', checkpointing=True
+)
 REQUESTS = (
     JobRequest('', (Step(3, SMALL), Step(1, SMALL, after=(0,)))),
-    JobRequest('', (SERVED,)),
-    JobRequest('', (FILLING,)),
+    JobRequest('', (SERVICE_STEP,)),
+    JobRequest('', (OPPORTUNISTIC_STEP,)),
     JobRequest('', (Step(2, SMALL, gang=True), Step(1, SMALL))),
     JobRequest('', (Step(1, SMALL),), Schedule(WALL_MS, 400, 3)),
     JobRequest('', (Step(1, SMALL, allow_duplicates=True),)),
-    # More than there is room for.
-    JobRequest('', (attrs.evolve(SERVED, task_count=9, size=LARGE),)),
+    # More than the free capacity.
+    JobRequest('', (attrs.evolve(SERVICE_STEP, task_count=9, size=LARGE),)),
 )
-HOUSED = UnitRoom(
+OTHER_UNIT_CAPACITY = UnitRoom(
     64_000, 1000, largest_free=Resources(16_000, 64_000), places=(64,)
 )
 
 
 def read_back(record):
-    """Return a record as its readers get it from a row."""
-    again = decode(encode(record), type(record))
-    assert find_fault(again) == ''
-    return again
+    """Encode and decode a record, and assert that it is valid."""
+    decoded = decode(encode(record), type(record))
+    assert find_fault(decoded) == ''
+    return decoded
 
 
 def count_left(job):
-    """Return how many tasks of each step are not done."""
+    """Return the number of remaining tasks of each step."""
     left = {
         (occurrence, number): step.task_count
         for occurrence in range(job.request.occurrence_count)
@@ -93,7 +95,7 @@
 
 @attrs.define
 class PaperWorker:
-    """A worker's life: what runs there, and which ends it lists."""
+    """Incarnation of a worker: its runs and the ended runs that it reports."""
 
     entry: WorkerEntry
     runs: dict[tuple[TaskKey, int], float] = attrs.field(factory=dict)
@@ -114,7 +116,7 @@
 
 @attrs.define
 class PaperUnit:
-    """The rows of a unit, its workers and its owner."""
+    """Rows, workers and current owner of a unit."""
 
     now_ms: int = 100_000
     version: int = 100
@@ -126,7 +128,7 @@
     model: ModelRecord | None = None
     account: AccountRecord | None = None
     workers: dict[str, PaperWorker] = attrs.field(factory=dict)
-    life: int = 0
+    incarnation_count: int = 0
     starts: list[fx.StartRun] = attrs.field(factory=list)
     commits: list[fx.CommitProgress] = attrs.field(factory=list)
     kinds: set[str] = attrs.field(factory=set)
@@ -138,9 +140,9 @@
         self.load()
 
     def add_worker(self, address):
-        self.life += 1
+        self.incarnation_count += 1
         entry = WorkerEntry(
-            f'w{self.life}',
+            f'w{self.incarnation_count}',
             's',
             address,
             'zone',
@@ -157,7 +159,7 @@
     # -- the owner ----------------------------------------------------------
 
     def load(self):
-        """Let a new owner read all that is kept."""
+        """Have a new owner take the unit over and load its rows."""
         self.epoch += 1
         self.version += 1
         self.starts.clear()
@@ -194,7 +196,7 @@
             self.perform(effect)
 
     def perform(self, effect):
-        """Keep what an effect writes; each record must read back."""
+        """Carry out an effect; each written record must be valid."""
         match effect:
             case fx.CommitProgress():
                 for write in effect.writes:
@@ -251,7 +253,7 @@
             self.reduce(ev.Ticked(self.now_ms, wall_ms))
 
     def answer(self, number, tail_ms, used_millicores):
-        """Let a worker tell what it runs, and at which loads."""
+        """Let a worker report its runs with the given loads."""
         worker = self.pick(number)
         for key, run in worker.runs:
             is_served = self.is_served(key)
@@ -268,7 +270,7 @@
         return job is not None and job.request.steps[0].target_ms > 0
 
     def go_on(self, rounds, tail_ms, used_millicores):
-        """Let all orders be carried out, and all workers answer."""
+        """Let all start orders be carried out and all workers report."""
         for _ in range(rounds):
             self.pass_time(6)
             while self.starts:
@@ -281,7 +283,7 @@
         return list(self.workers.values())[number % len(self.workers)]
 
     def answer_start(self, outcome):
-        """Let the first order that is under way come to something."""
+        """Answer the oldest pending start order with an outcome."""
         if not self.starts:
             return
         order = self.starts.pop(0).order
@@ -290,10 +292,10 @@
             return
         if outcome is StartOutcome.STARTED:
             worker.runs[order.key, order.run] = 1.0
-        told = OrderAnswer(outcome, self.now_ms)
+        answer = OrderAnswer(outcome, self.now_ms)
         self.reduce(
             ev.StartAnswered(
-                self.now_ms, order.worker_id, order.key, order.run, told
+                self.now_ms, order.worker_id, order.key, order.run, answer
             )
         )
 
@@ -304,11 +306,14 @@
             worker.end(places[which % len(places)], outcome)
 
     def tell_odd_run(self, number, key, run):
-        """Let a worker tell a run that no owner has started."""
+        """Let a worker report a run that no owner has started."""
         self.pick(number).runs[key, run] = 1.0
 
     def lose(self, number, is_replaced):
-        """Let a worker crash; another life of it may answer."""
+        """Crash a worker and start its next incarnation.
+
+        If `is_replaced`, the owner has met the next incarnation.
+        """
         worker = self.pick(number)
         worker_id = worker.entry.worker_id
         del self.workers[worker_id]
@@ -330,7 +335,7 @@
             self.progress[write.job_id] = row
         self.reduce(ev.ProgressCommitted(self.now_ms, commit, self.version))
 
-    def tell_jobs(self, *rows):
+    def deliver_job_rows(self, *rows):
         self.rows.update((row.key, row) for row in rows)
         self.reduce(ev.JobsChanged(self.now_ms, rows))
 
@@ -338,10 +343,10 @@
         job_id = f'{len(self.rows):016x}'
         wall_ms = self.now_ms + WALL_MS - 100_000
         record = read_back(JobRecord(QUEUE, REQUESTS[kind], wall_ms))
-        self.tell_jobs(self.put('jobs0', job_id, record))
+        self.deliver_job_rows(self.put('jobs0', job_id, record))
 
     def pass_here(self, pass_number, has_begun, has_crashed):
-        """Let another unit pass on a task of a served job."""
+        """Transfer a task of a service from another unit to this one."""
         job_id = f'{len(self.rows):016x}'
         crash = CrashRecord('w0', 'a:80', 'm', 7, 10, WALL_MS, True)
         record = read_back(
@@ -354,14 +359,14 @@
                 {'0.0.1': (crash,)} if has_crashed else {},
             )
         )
-        self.tell_jobs(self.put('jobs0', f'{job_id}/guest', record))
+        self.deliver_job_rows(self.put('jobs0', f'{job_id}/guest', record))
 
     def mark(self, number, record, suffix):
-        """Let a caller cancel a job, or another unit give it up."""
+        """Write a cancel or fail marker for a job."""
         jobs = list(self.state.jobs)
         if jobs:
             job_id = jobs[number % len(jobs)]
-            self.tell_jobs(
+            self.deliver_job_rows(
                 self.put('jobs0', f'{job_id}{suffix}', read_back(record))
             )
 
@@ -372,17 +377,17 @@
         self.mark(number, FailRecord('crashed'), '/failed')
 
     def see_rooms(self):
-        self.reduce(ev.RoomsSeen(self.now_ms, {1: HOUSED}))
+        self.reduce(ev.RoomsSeen(self.now_ms, {1: OTHER_UNIT_CAPACITY}))
 
     # -- the next owner -----------------------------------------------------
 
     def crash(self):
-        """Lose the owner: the next one knows what is durable alone."""
+        """Lose the owner: the next one has only the durable state."""
         self.account = None
         self.load()
 
     def release(self):
-        """Have the owner give the unit up, and another one take it."""
+        """Have the owner release the unit, and another one take it."""
         released = [
             effect
             for effect in core.reduce(self.state, ev.StopRequested(self.now_ms))
@@ -393,7 +398,7 @@
             shell = types.SimpleNamespace(state=self.state)
             writes = trio.run(make_known_writes, effect, shell)
             kept = {write.table: write.value for write in writes}
-            # Nothing that an owner knows may be too odd to be kept.
+            # Everything in the owner's state must be valid in the records.
             self.account = read_back(
                 decode(kept[ACCOUNTS_TABLE], AccountRecord)
             )
@@ -402,7 +407,7 @@
         self.load()
 
     def check_restored(self):
-        """The owner knows of each job what is durable, and nothing else."""
+        """Check that the owner's state of each job equals the durable one."""
         for job_id, row in self.progress.items():
             job = self.state.jobs.get(job_id)
             if job is None:
