--- a/src/tulippin/_bundling.py
+++ b/src/tulippin/_bundling.py
@@ -1,4 +1,7 @@
-"""Bundles in force: taken from the table or a peer, never a lower one."""
+"""Configuration bundles: adoption from the table or a peer.
+
+An adopted bundle is never replaced by one with a lower number.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,14 @@
 from tulippin.messages import BundleSent, BundleWanted
 from tulippin.stats import TrialStats
 
-_ASK_EVERY_MS = 1000
+_ASK_INTERVAL_MS = 1000
 
 
-def note_head(context: Context, number: int, state: str, approved: str) -> None:
-    """Take note of the table's rolled bundle."""
-    _consider(context, number, approved)
+def update_rolled_bundle(
+    context: Context, number: int, state: str, approved: str
+) -> None:
+    """Process the rolled bundle that a poll of the table returned."""
+    _request_verification(context, number, approved)
     context.state.bundle_state = state
     if number == context.state.bundle_number and (
         state == BundleState.ROLLING.value
@@ -23,13 +28,16 @@
         _mark_in_force(context, number)
 
 
-def _consider(context: Context, number: int, approved: str) -> None:
-    """Have a higher bundle verified; a lower one is never taken."""
+def _request_verification(context: Context, number: int, approved: str) -> None:
+    """Request verification of a bundle with a higher number.
+
+    Bundles with a lower number, or without an approval, are ignored.
+    """
     state = context.state
     if not approved:
         return
-    newest = max(state.bundle_number, state.verifying_number)
-    if number <= newest and state.config.seams.bundle_order:
+    highest_number = max(state.bundle_number, state.verifying_number)
+    if number <= highest_number and state.config.seams.bundle_order:
         return
     if number == state.bundle_number:
         return
@@ -38,7 +46,10 @@
 
 
 def _mark_in_force(context: Context, number: int) -> None:
-    """Let the first live session note that all hold the bundle."""
+    """Mark a bundle as in force once all live sessions have adopted it.
+
+    Only the live session with the lowest id does so.
+    """
     state = context.state
     own = state.session.session_id
     peers = state.peers.values()
@@ -70,7 +81,7 @@
 
 
 def tick(context: Context) -> None:
-    """Ask a peer for a bundle that it holds and this instance lacks."""
+    """Request a newer bundle from the peer with the highest number."""
     state = context.state
     if context.now_ms < state.next_bundle_ask_ms:
         return
@@ -83,13 +94,13 @@
         if peer.bundle_number > state.bundle_number
     ]
     if ahead:
-        state.next_bundle_ask_ms = context.now_ms + _ASK_EVERY_MS
+        state.next_bundle_ask_ms = context.now_ms + _ASK_INTERVAL_MS
         _, session_id = max(ahead)
         context.send(session_id, BundleWanted(state.bundle_number))
 
 
 def _ask_seed(context: Context) -> None:
-    """Without the table, ask one of the addresses in the settings."""
+    """Fetch the bundle from a random seed peer while the table is down."""
     state = context.state
     seeds = [
         seed
@@ -97,13 +108,13 @@
         if seed != state.config.peer_address
     ]
     if seeds:
-        state.next_bundle_ask_ms = context.now_ms + _ASK_EVERY_MS
+        state.next_bundle_ask_ms = context.now_ms + _ASK_INTERVAL_MS
         context.emit(fx.FetchBundle(state.random.choice(seeds)))
 
 
 @handle.register
 def _(event: BundleFetched, context: Context) -> None:
-    _consider(context, event.number, event.approved)
+    _request_verification(context, event.number, event.approved)
 
 
 @receive.register
@@ -117,4 +128,4 @@
 
 @receive.register
 def _(message: BundleSent, sender: str, context: Context) -> None:
-    _consider(context, message.number, message.approved)
+    _request_verification(context, message.number, message.approved)
--- a/src/tulippin/_calls.py
+++ b/src/tulippin/_calls.py
@@ -1,4 +1,8 @@
-"""Calls that wait for other instances: job operations and reports."""
+"""Calls that involve other instances: job operations and reports.
+
+A job operation is forwarded to the owner of the job's home unit. A report
+is merged from the parts of all live instances.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +24,11 @@
 )
 from tulippin.state import JobCall, ReportCall, Standing
 
-_JOB_DEADLINE_MS = 10000
-_JOB_RESEND_MS = 1000
-_REPORT_DEADLINE_MS = 2000
+_JOB_TIMEOUT_MS = 10000
+_JOB_RESEND_INTERVAL_MS = 1000
+_REPORT_TIMEOUT_MS = 2000
 _RETRY_AFTER_MS = 2000
-_LIST_LIMIT = 1000
+_MAX_LISTED_JOBS = 1000
 
 
 @handle.register
@@ -45,15 +49,15 @@
     call = JobCall(
         event.call_id,
         message,
-        context.now_ms + _JOB_DEADLINE_MS,
+        context.now_ms + _JOB_TIMEOUT_MS,
         context.now_ms,
     )
     context.state.job_calls[event.call_id] = call
-    _send(context, call)
+    _send_job_call(context, call)
 
 
-def _send(context: Context, call: JobCall) -> None:
-    call.next_send_ms = context.now_ms + _JOB_RESEND_MS
+def _send_job_call(context: Context, call: JobCall) -> None:
+    call.next_send_ms = context.now_ms + _JOB_RESEND_INTERVAL_MS
     call.message = attrs.evolve(
         call.message, try_count=call.message.try_count + 1
     )
@@ -65,9 +69,10 @@
     call = context.state.job_calls.get(message.call_id)
     if call is None:
         return
-    latest = message.try_count == call.message.try_count
-    if message.reply.code == 'ok' or latest:
-        # An earlier try's refusal says nothing of the later ones.
+    is_latest_try = message.try_count == call.message.try_count
+    if message.reply.code == 'ok' or is_latest_try:
+        # A refusal of an earlier try doesn't settle the call, as a later
+        # try may still succeed.
         del context.state.job_calls[message.call_id]
         context.emit(fx.AnswerJob(message.call_id, message.reply))
 
@@ -84,8 +89,8 @@
     call = ReportCall(
         event.call_id,
         set(state.peers),
-        [make_body(context, event.kind)],
-        context.now_ms + _REPORT_DEADLINE_MS,
+        [make_report_body(context, event.kind)],
+        context.now_ms + _REPORT_TIMEOUT_MS,
     )
     if event.kind.startswith('dump'):
         call.waiting = set()
@@ -107,8 +112,8 @@
     context.emit(fx.AnswerReport(call.call_id, tuple(call.bodies), missing))
 
 
-def make_body(context: Context, kind: str) -> str:
-    """Return this instance's part of a report, as JSON.
+def make_report_body(context: Context, kind: str) -> str:
+    """Return this instance's part of a report as JSON text.
 
     Parameters
     ----------
@@ -129,12 +134,12 @@
         for job in home.ledger.jobs.values()
         if not argument or job.spec.team == argument
     ]
-    return encode(jobs[:_LIST_LIMIT]).decode()
+    return encode(jobs[:_MAX_LISTED_JOBS]).decode()
 
 
 @receive.register
 def _(message: ReportWanted, sender: str, context: Context) -> None:
-    body = make_body(context, message.kind)
+    body = make_report_body(context, message.kind)
     context.send(sender, ReportReturned(message.call_id, body))
 
 
@@ -148,13 +153,13 @@
 
 
 def tick(context: Context) -> None:
-    """Repeat job operations without a reply and end those out of time."""
+    """Resend unanswered job operations and end calls past their deadline."""
     for call in list(context.state.job_calls.values()):
         if context.now_ms >= call.deadline_ms:
             del context.state.job_calls[call.call_id]
             reply = JobReply('unknown', None, _RETRY_AFTER_MS)
             context.emit(fx.AnswerJob(call.call_id, reply))
         elif context.now_ms >= call.next_send_ms:
-            _send(context, call)
-    for report in list(context.state.report_calls.values()):
-        _finish_report(context, report)
+            _send_job_call(context, call)
+    for report_call in list(context.state.report_calls.values()):
+        _finish_report(context, report_call)
--- a/src/tulippin/_dispatch.py
+++ b/src/tulippin/_dispatch.py
@@ -1,4 +1,4 @@
-"""The generic functions that handlers register with."""
+"""Generic functions with which the modules register their handlers."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @functools.singledispatch
 def handle(event: Event, context: Context) -> None:
-    """Handle one event."""
+    """Handle an event; dispatches on its class."""
     raise NotImplementedError(type(event))
 
 
 @functools.singledispatch
 def receive(message: object, sender: str, context: Context) -> None:
-    """Handle one message of a session, this one included."""
+    """Handle a message from a peer or from this session itself."""
     raise NotImplementedError(type(message))
 
 
 @functools.singledispatch
 def settle(record: Record, unit: UnitState, context: Context) -> None:
-    """Go on after a record has become durable; most need nothing."""
+    """Continue after a record was committed; by default, do nothing."""
--- a/src/tulippin/_dropping.py
+++ b/src/tulippin/_dropping.py
@@ -1,4 +1,4 @@
-"""Giving up a unit that another session owns, or will."""
+"""Release of the local state of a unit that this session lost."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def drop_unit(context: Context, unit: UnitState) -> None:
-    """Stop acting for a unit that another session owns, or will."""
+    """Remove a lost unit, its requests and its pending records.
+
+    Records in flight remain counted until their commit is answered.
+    """
     state = context.state
     _requests.leave_unit(context, unit)
     if isinstance(unit, CellState):
--- a/src/tulippin/_homes.py
+++ b/src/tulippin/_homes.py
@@ -1,4 +1,8 @@
-"""Homes: the hash ranges that keep jobs and give their tasks to cells."""
+"""Home units: the hash ranges that store jobs and assign tasks to cells.
+
+A home unit queues the tasks of its jobs, offers each attempt to the
+assigned cell until the cell confirms it, and records the outcome.
+"""
 
 from __future__ import annotations
 
@@ -37,28 +41,32 @@
     TaskOutcome,
 )
 
-_PRIORITY_HEAD_START_MS = 60000
-_SAMPLE_SIZE = 4
-_RETRY_MS = 1000
+_HEAD_START_PER_PRIORITY_MS = 60000
+_CELL_SAMPLE_SIZE = 4
+_REFUSED_RETRY_MS = 1000
 _FAILED_RETRY_MS = 2000
-_DISPATCH_EVERY_MS = 100
-_EXPIRY_EVERY_MS = 60000
-_EXPIRY_LIMIT = 5000
-_FRESH = -1
+_DISPATCH_INTERVAL_MS = 100
+_EXPIRY_INTERVAL_MS = 60000
+_MAX_FORGOTTEN_PER_ROUND = 5000
+_FRESH_INDEX = -1
 
 
 @attrs.define
 class CellView:
-    """A cell as a home reckons with it, corrected by its own offers."""
+    """A cell's free capacity, less the offers that it has not confirmed.
+
+    ``assigned_services`` holds the ids of the service jobs that were
+    assigned a task in this cell during the current dispatch round.
+    """
 
     summary: CellSummary
     free: Resources
     largest_free: Resources
-    taken_by: set[str] = attrs.field(factory=set)
+    assigned_services: set[str] = attrs.field(factory=set)
 
 
 def activate(context: Context, home: RangeState) -> None:
-    """Build the queue and the offers after a range's state is loaded."""
+    """Rebuild the queue and the offers of a range from its loaded state."""
     for job in home.ledger.jobs.values():
         enqueue_job(home, job)
         for index, task in job.tasks.items():
@@ -77,34 +85,34 @@
 
 
 def enqueue_job(home: RangeState, job: JobEntry) -> None:
-    """Queue a job's tasks that have never been assigned, as one entry."""
+    """Queue all tasks of a job that were never assigned, as one entry."""
     if job.fresh_index < job.spec.task_count:
-        home.fresh_jobs[job.spec.job_id] = job.fresh_index
-        _push(home, job, _FRESH)
+        home.fresh_indexes[job.spec.job_id] = job.fresh_index
+        _push_queued(home, job, _FRESH_INDEX)
 
 
 def enqueue_task(home: RangeState, job: JobEntry, index: int) -> None:
-    """Queue one task that has come back."""
-    _push(home, job, index)
+    """Queue a single task whose earlier attempt was returned."""
+    _push_queued(home, job, index)
 
 
-def _push(home: RangeState, job: JobEntry, index: int) -> None:
-    """Order by arrival, each step of priority counting as a head start.
+def _push_queued(home: RangeState, job: JobEntry, index: int) -> None:
+    """Push an entry, ranked by arrival time less a priority head start.
 
-    The order does not change as time passes, yet old work is never
-    starved: its rank beats that of any later arrival in the end.
+    A rank never changes, so the heap stays valid as time passes. Old work
+    is not starved: in the end its rank precedes that of any new arrival.
     """
-    head_start_ms = job.spec.priority * _PRIORITY_HEAD_START_MS
+    head_start_ms = job.spec.priority * _HEAD_START_PER_PRIORITY_MS
     rank = (job.accepted_ms - head_start_ms, index)
     heapq.heappush(home.queue, QueuedTask(rank, job.spec.job_id, index))
 
 
 def tick(context: Context) -> None:
-    """Give queued tasks to cells, and repeat offers without a word."""
+    """Resend unconfirmed offers, expire jobs, and assign queued tasks."""
     session = context.state.session
     if not context.may_act or context.now_ms < session.next_dispatch_ms:
         return
-    session.next_dispatch_ms = context.now_ms + _DISPATCH_EVERY_MS
+    session.next_dispatch_ms = context.now_ms + _DISPATCH_INTERVAL_MS
     homes = [
         home
         for home in context.state.ranges.values()
@@ -112,40 +120,47 @@
     ]
     for home in homes:
         _repeat_offers(context, home)
-        _expire(context, home)
+        _forget_expired(context, home)
     if context.store_ready and any(home.queue for home in homes):
         _dispatch(context, homes)
 
 
 def _dispatch(context: Context, homes: list[RangeState]) -> None:
-    """Assign queued tasks, the first in rank over all homes first."""
-    views = make_views(context)
-    use = _quotas.count_use(context)
+    """Assign queued tasks in rank order over all home units.
+
+    Entries that can't be assigned now go back to their queues afterwards.
+    """
+    views = make_cell_views(context)
+    usage = _quotas.count_team_usage(context)
     budget = context.state.config.starts_per_tick
-    full: set[tuple[Resources, bool]] = set()
+    unfitting: set[tuple[Resources, bool]] = set()
     heads = [
         (home.queue[0].rank, home.unit, home) for home in homes if home.queue
     ]
     heapq.heapify(heads)
-    aside: list[tuple[RangeState, QueuedTask]] = []
+    deferred: list[tuple[RangeState, QueuedTask]] = []
     while heads and budget > 0:
         _, unit, home = heapq.heappop(heads)
         queued = home.queue[0]
-        count = _assign(context, home, queued, views, full, use)
+        count = _assign_next(context, home, queued, views, unfitting, usage)
         budget -= max(count, 0)
         if count < 0:
-            aside.append((home, heapq.heappop(home.queue)))
+            deferred.append((home, heapq.heappop(home.queue)))
             budget -= 1
         elif count == 0:
             heapq.heappop(home.queue)
         if home.queue:
             heapq.heappush(heads, (home.queue[0].rank, unit, home))
-    for home, queued in aside:
+    for home, queued in deferred:
         heapq.heappush(home.queue, queued)
 
 
-def make_views(context: Context) -> dict[str, CellView]:
-    """Return all cells that could take tasks, own and others'."""
+def make_cell_views(context: Context) -> dict[str, CellView]:
+    """Return the views of all cells, by unit, own and those of peers.
+
+    Summaries of an earlier epoch are left out. Offers that the cell has
+    not confirmed are subtracted, as its summary doesn't include them.
+    """
     views = {}
     for summary in _iter_summaries(context):
         holder = context.get_holder(summary.unit)
@@ -169,18 +184,18 @@
             yield from peer.summaries.values()
 
 
-def _assign(
+def _assign_next(
     context: Context,
     home: RangeState,
     queued: QueuedTask,
     views: dict[str, CellView],
-    full: set[tuple[Resources, bool]],
-    use: _quotas.TeamUse,
+    unfitting: set[tuple[Resources, bool]],
+    usage: _quotas.TeamUsage,
 ) -> int:
-    """Assign one queued entry's next task.
+    """Assign the next task of a queued entry to a cell.
 
-    Returns the number assigned; zero if the entry is spent, and -1 if
-    there is no room now.
+    Returns 1 if a task was assigned, 0 if the entry has no task left, and
+    -1 if the task can't be assigned now.
     """
     job = home.ledger.jobs.get(queued.job_id)
     if job is None or job.cancelled:
@@ -188,26 +203,26 @@
     index = _get_next_index(home, job, queued)
     if index is None:
         return 0
-    urgent = job.spec.priority >= URGENT_PRIORITY
-    key = (job.spec.size, urgent)
+    is_urgent = job.spec.priority >= URGENT_PRIORITY
+    key = (job.spec.size, is_urgent)
     task_id = f'{queued.job_id}/{index}'
-    if key in full or context.now_ms < home.not_before_ms.get(task_id, 0):
+    if key in unfitting or context.now_ms < home.not_before_ms.get(task_id, 0):
         return -1
-    if not use.has_room(job.spec):
+    if not usage.has_quota(job.spec):
         return -1
     if job.spec.kind is JobKind.SERVICE:
-        spread = _spread(home, job, views)
+        spread = _select_least_used(home, job, views)
         cell = pick_cell(context, job.spec, spread) if spread else None
     else:
         cell = pick_cell(context, job.spec, views)
         if cell is None:
-            full.add(key)
+            unfitting.add(key)
     if cell is None:
         return -1
-    _give(context, home, job, index, cell)
-    use.add(job.spec)
-    if queued.index == _FRESH:
-        home.fresh_jobs[queued.job_id] = index + 1
+    _assign_to_cell(context, home, job, index, cell)
+    usage.add(job.spec)
+    if queued.index == _FRESH_INDEX:
+        home.fresh_indexes[queued.job_id] = index + 1
     else:
         heapq.heappop(home.queue)
     home.not_before_ms.pop(task_id, None)
@@ -217,40 +232,43 @@
 def _get_next_index(
     home: RangeState, job: JobEntry, queued: QueuedTask
 ) -> int | None:
-    if queued.index != _FRESH:
+    if queued.index != _FRESH_INDEX:
         task = job.tasks.get(queued.index)
-        ready = task is not None and not task.assigned
-        return queued.index if ready else None
-    index = home.fresh_jobs.get(queued.job_id, job.spec.task_count)
+        is_ready = task is not None and not task.assigned
+        return queued.index if is_ready else None
+    index = home.fresh_indexes.get(queued.job_id, job.spec.task_count)
     return index if index < job.spec.task_count else None
 
 
-def _spread(
+def _select_least_used(
     home: RangeState, job: JobEntry, views: dict[str, CellView]
 ) -> dict[str, CellView]:
-    """Keep the cells with the fewest of a service's tasks, room first.
+    """Return the fitting cells with the fewest tasks of a service.
 
-    A cell gets one of them in a round, so that a service submitted while
-    few cells are known yet does not crowd into those.
+    If no cell fits, returns all cells that may still get a task. A cell
+    gets at most one task of a service in a dispatch round, so that a
+    service submitted while few cells are known doesn't crowd into those.
     """
     counts = home.spread.setdefault(job.spec.job_id, collections.Counter())
     open_views = {
         unit: view
         for unit, view in views.items()
-        if job.spec.job_id not in view.taken_by
+        if job.spec.job_id not in view.assigned_services
     }
     fitting = {
         unit: view
         for unit, view in open_views.items()
         if view.free.fits(job.spec.size)
     }
-    least = min((counts[unit] for unit in fitting), default=0)
+    lowest_count = min((counts[unit] for unit in fitting), default=0)
     return {
-        unit: view for unit, view in fitting.items() if counts[unit] == least
+        unit: view
+        for unit, view in fitting.items()
+        if counts[unit] == lowest_count
     } or open_views
 
 
-def _give(
+def _assign_to_cell(
     context: Context,
     home: RangeState,
     job: JobEntry,
@@ -262,7 +280,7 @@
     cell.free = cell.free.subtract(job.spec.size)
     if job.spec.kind is JobKind.SERVICE:
         home.spread[job.spec.job_id][cell.summary.unit] += 1
-        cell.taken_by.add(job.spec.job_id)
+        cell.assigned_services.add(job.spec.job_id)
     context.record(
         home,
         TaskAssigned(
@@ -278,14 +296,15 @@
 def pick_cell(
     context: Context, spec: JobSpec, views: t.Mapping[str, CellView]
 ) -> CellView | None:
-    """Return the freest of a few cells with room, or any with room.
+    """Return the best fitting cell of a random sample, or of all cells.
 
-    Urgent work may go where only eviction makes room.
+    Urgent jobs may also get a cell where they fit only after evictions.
+    Returns ``None`` if no cell fits.
     """
-    names = list(views)
-    size = min(_SAMPLE_SIZE, len(names))
-    sample = context.state.random.sample(names, size)
-    best = _pick_fitting(spec, [views[name] for name in sample])
+    units = list(views)
+    size = min(_CELL_SAMPLE_SIZE, len(units))
+    sample = context.state.random.sample(units, size)
+    best = _pick_fitting(spec, [views[unit] for unit in sample])
     if best is None:
         best = _pick_fitting(spec, list(views.values()))
     if best is None and spec.priority >= URGENT_PRIORITY:
@@ -312,7 +331,7 @@
 
 
 def _get_cost(spec: JobSpec, view: CellView) -> tuple[float, int]:
-    """Order cells by the harm that the task would do, then by room."""
+    """Return a sort key: expected interference, then free processors."""
     harm = view.summary.harm.get(spec.job_class, 0.0)
     return round(harm, 1), -view.free.cpu_millicores
 
@@ -330,7 +349,7 @@
 def _send_offer(
     context: Context, home: RangeState, offer: OfferState, epoch: int
 ) -> None:
-    """Offer an attempt, or ask a later owner what became of it."""
+    """Send an offer, or ask a later owner of the cell about the attempt."""
     job = home.ledger.jobs[offer.task.job_id]
     task = job.tasks[offer.task.index]
     offer.next_send_ms = context.now_ms + context.state.config.resend_every_ms
@@ -341,7 +360,7 @@
         if epoch == offer.cell_epoch:
             context.send_owner(offer.cell, message)
             return
-    keeps = context.state.config.seams.checkpoints
+    uses_checkpoints = context.state.config.seams.checkpoints
     if epoch == offer.cell_epoch:
         message = TaskOffered(
             offer.cell,
@@ -349,7 +368,7 @@
             offer.task,
             job.spec,
             home.epoch,
-            task.checkpoint if keeps else '',
+            task.checkpoint if uses_checkpoints else '',
         )
     else:
         message = TaskAsked(offer.cell, offer.task, home.epoch)
@@ -394,10 +413,10 @@
     ref = message.task
     job = home.ledger.jobs.get(ref.job_id)
     task = None if job is None else job.tasks.get(ref.index)
-    current = task is not None and (
+    is_current = task is not None and (
         task.attempt == ref.attempt and task.cell == message.cell
     )
-    if not current:
+    if not is_current:
         if task is None or task.attempt >= ref.attempt:
             context.send_owner(message.cell, TaskRecorded(message.cell, ref))
         return
@@ -429,22 +448,22 @@
     if job is None:
         return
     if record.index in job.tasks:
-        waits = {
-            TaskOutcome.REFUSED: _RETRY_MS,
+        retry_delays_ms = {
+            TaskOutcome.REFUSED: _REFUSED_RETRY_MS,
             TaskOutcome.FAILED: _FAILED_RETRY_MS,
         }
-        wait_ms = waits.get(record.outcome, 0)
+        retry_delay_ms = retry_delays_ms.get(record.outcome, 0)
         if job.spec.priority >= URGENT_PRIORITY:
-            wait_ms = min(wait_ms, _DISPATCH_EVERY_MS)
-        unit.not_before_ms[task_id] = context.now_ms + wait_ms
+            retry_delay_ms = min(retry_delay_ms, _DISPATCH_INTERVAL_MS)
+        unit.not_before_ms[task_id] = context.now_ms + retry_delay_ms
         enqueue_task(unit, job, record.index)
 
 
-def _expire(context: Context, home: RangeState) -> None:
-    """Forget finished jobs and requests past their retention."""
+def _forget_expired(context: Context, home: RangeState) -> None:
+    """Remove finished jobs and requests past their retention period."""
     if context.now_ms < home.next_expiry_ms or not context.store_ready:
         return
-    home.next_expiry_ms = context.now_ms + _EXPIRY_EVERY_MS
+    home.next_expiry_ms = context.now_ms + _EXPIRY_INTERVAL_MS
     before_ms = context.state.wall_ms - context.state.config.retention_ms
     old_jobs = [
         job_id
@@ -457,16 +476,16 @@
         if entry.opened_ms < before_ms
         and request_id not in home.request_tickets
     ]
-    for job_id in old_jobs[:_EXPIRY_LIMIT]:
+    for job_id in old_jobs[:_MAX_FORGOTTEN_PER_ROUND]:
         context.record(home, JobForgotten(job_id))
-    for request_id in old_requests[:_EXPIRY_LIMIT]:
+    for request_id in old_requests[:_MAX_FORGOTTEN_PER_ROUND]:
         context.record(home, RequestForgotten(request_id))
 
 
 def send_cancel(
     context: Context, home: RangeState, offers: t.Iterable[OfferState]
 ) -> None:
-    """Withdraw offers, one message for each cell."""
+    """Cancel offered attempts with one message for each cell."""
     by_cell: dict[str, list[TaskRef]] = {}
     for offer in offers:
         by_cell.setdefault(offer.cell, []).append(offer.task)
--- a/src/tulippin/_jobs.py
+++ b/src/tulippin/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as callers see them: submit, show, cancel, at their home."""
+"""Job operations at the home unit: submit, show and cancel."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tulippin.records import JobAccepted, JobCancelled
 from tulippin.state import Phase, RangeState
 
-_STORE_RETRY_MS = 5000
+_STORE_RETRY_AFTER_MS = 5000
 
 
 @receive.register
@@ -38,7 +38,7 @@
     code: str,
     job: JobStatus | None = None,
 ) -> None:
-    retry_ms = _STORE_RETRY_MS if code == 'store_unavailable' else 0
+    retry_ms = _STORE_RETRY_AFTER_MS if code == 'store_unavailable' else 0
     reply = JobReply(code, job, retry_ms)
     context.send(sender, JobReturned(message.call_id, reply, message.try_count))
 
@@ -53,9 +53,9 @@
         code = 'ok' if job.digest == message.digest else 'job_id_reused'
         _reply(context, sender, message, code, describe_job(job))
         return
-    waiters = home.job_waiters.get(message.job_id)
-    if waiters is not None:
-        waiters.append((sender, message))
+    callers = home.job_waiters.get(message.job_id)
+    if callers is not None:
+        callers.append((sender, message))
         return
     if not context.store_ready:
         _reply(context, sender, message, 'store_unavailable')
@@ -82,8 +82,8 @@
 def _answer_waiters(context: Context, home: RangeState, job_id: str) -> None:
     job = home.ledger.jobs[job_id]
     for sender, message in home.job_waiters.pop(job_id, ()):
-        reused = message.action == 'submit' and message.digest != job.digest
-        code = 'job_id_reused' if reused else 'ok'
+        is_reused = message.action == 'submit' and message.digest != job.digest
+        code = 'job_id_reused' if is_reused else 'ok'
         _reply(context, sender, message, code, describe_job(job))
 
 
@@ -106,7 +106,7 @@
 
 @settle.register
 def _(record: JobCancelled, unit: RangeState, context: Context) -> None:
-    unit.fresh_jobs.pop(record.job_id, None)
+    unit.fresh_indexes.pop(record.job_id, None)
     prefix = f'{record.job_id}/'
     offers = [
         offer
@@ -128,10 +128,10 @@
 
 
 def describe_job(job: JobEntry) -> JobStatus:
-    """Return a job as callers see it."""
-    assigned = sum(task.assigned for task in job.tasks.values())
-    finished = job.done_count + job.failed_count + job.cancelled_count
-    state = 'running' if assigned else 'queued'
+    """Return the status of a job as it is shown to callers."""
+    assigned_count = sum(task.assigned for task in job.tasks.values())
+    finished_count = job.done_count + job.failed_count + job.cancelled_count
+    state = 'running' if assigned_count else 'queued'
     if job.finished:
         state = 'done'
         if job.failed_count:
@@ -141,8 +141,8 @@
     return JobStatus(
         spec=job.spec,
         state=state,
-        pending_count=job.spec.task_count - finished - assigned,
-        assigned_count=assigned,
+        pending_count=job.spec.task_count - finished_count - assigned_count,
+        assigned_count=assigned_count,
         done_count=job.done_count,
         failed_count=job.failed_count,
         cancelled_count=job.cancelled_count,
@@ -150,5 +150,5 @@
 
 
 def get_home(context: Context, job_id: str) -> str:
-    """Return the unit that keeps a job."""
+    """Return the home unit of a job."""
     return get_range(job_id, context.state.config.range_count)
--- a/src/tulippin/_journal.py
+++ b/src/tulippin/_journal.py
@@ -1,7 +1,8 @@
-"""Group commit: records gather and leave as one row at a time.
+"""Journal: group commit of records, and snapshots of the owned units.
 
-The interval between rows grows with the number of instances, so that
-all together stay within their share of the table's writes.
+Pending records are committed as one row at a time. The interval between
+rows grows with the number of instances, so that all instances together
+stay within the configured write rate of the table.
 """
 
 from __future__ import annotations
@@ -24,17 +25,21 @@
 
 
 def flush(context: Context) -> None:
-    """Send the gathered records as one row, if one may be sent now."""
+    """Commit pending records as one row if a commit is allowed now.
+
+    The row waits while another is in flight, before the end of the commit
+    interval, and while the journal ring has no free row.
+    """
     _start_snapshot(context)
     journal = context.state.journal
     config = context.state.config
-    waiting = journal.in_flight or not journal.pending
-    if waiting or not context.may_act:
+    is_blocked = journal.in_flight or not journal.pending
+    if is_blocked or not context.may_act:
         return
     if context.now_ms < journal.next_commit_ms:
         return
-    used = journal.sequence - journal.snapshot_sequence
-    if used >= config.journal_ring - 1:
+    used_rows = journal.sequence - journal.snapshot_sequence
+    if used_rows >= config.journal_ring - 1:
         return
     batch = tuple(journal.pending[: config.journal_row_records])
     del journal.pending[: len(batch)]
@@ -50,18 +55,18 @@
 
 
 def get_commit_interval_ms(context: Context) -> int:
-    """Return the time between two rows of this instance."""
+    """Return the minimum time between two commits of this instance."""
     instances = count_instances(context.state)
     return int(1000 * instances / context.state.config.journal_writes_per_s)
 
 
 def _start_snapshot(context: Context) -> None:
     journal = context.state.journal
-    due = journal.sequence - journal.snapshot_sequence
+    unpublished_rows = journal.sequence - journal.snapshot_sequence
     if (
         journal.snapshot_running
         or not context.may_act
-        or due < _get_snapshot_rows(context)
+        or unpublished_rows < _get_snapshot_interval_rows(context)
         or context.now_ms < journal.next_snapshot_ms
     ):
         return
@@ -81,8 +86,12 @@
     )
 
 
-def _get_snapshot_rows(context: Context) -> int:
-    """Return after how many rows to publish; not all instances at once."""
+def _get_snapshot_interval_rows(context: Context) -> int:
+    """Return the number of rows between snapshots.
+
+    It is spread by session id, so that the instances don't all publish
+    at the same time.
+    """
     rows = context.state.config.snapshot_every_rows
     session_id = context.state.session.session_id
     return rows + zlib.crc32(session_id.encode()) % rows
--- a/src/tulippin/_membership.py
+++ b/src/tulippin/_membership.py
@@ -1,4 +1,8 @@
-"""Sessions and leases: who is live, and what this instance may do."""
+"""Membership: this instance's session and lease, and its peers.
+
+Renews the lease, polls the membership table, exchanges gossip with the
+peers, and derives from these what the instance may do.
+"""
 
 from __future__ import annotations
 
@@ -25,15 +29,21 @@
 from tulippin.state import PeerState, Standing
 from tulippin.types import LeaseRow, cell_unit
 
-_ENDED_KEPT = 1000
-_SHARE_EVERY_MS = 5000
+_MAX_ENDED_SESSIONS = 1000
+_MODEL_SHARE_INTERVAL_MS = 5000
 
 
 def update_standing(context: Context) -> None:
-    """Let the lease lapse by this instance's own clock."""
+    """Update the session's standing if its lease lapsed by the local clock.
+
+    After a stall of the process, another session may have taken over its
+    units, so the session becomes suspect. Without a stall the lease lapsed
+    because the renewals failed: the session is detached until
+    ``detached_limit_ms`` after the last renewal, then suspect.
+    """
     session = context.state.session
     config = context.state.config
-    stalled = (
+    is_stalled = (
         context.now_ms - session.last_event_ms > config.stall_limit_ms
         and session.last_event_ms > 0
     )
@@ -45,7 +55,7 @@
     if not config.seams.fencing:
         return
     limit_ms = session.renewed_ms + config.detached_limit_ms
-    if stalled or context.now_ms >= limit_ms:
+    if is_stalled or context.now_ms >= limit_ms:
         session.standing = Standing.SUSPECT
         session.suspect_since_ms = context.now_ms
     else:
@@ -53,7 +63,7 @@
 
 
 def tick(context: Context) -> None:
-    """Renew, poll, list and gossip when each is due."""
+    """Renew the lease, poll the table, list workers and gossip when due."""
     session = context.state.session
     if session.standing is Standing.LEFT:
         return
@@ -104,23 +114,23 @@
         context.now_ms + context.state.config.gossip_every_ms
     )
     message = make_gossip(context)
-    _note_services(message, context)
+    _record_services(message, context)
     for session_id in context.state.peers:
         context.send(session_id, message)
-    if context.now_ms >= session.next_share_ms:
-        session.next_share_ms = context.now_ms + _SHARE_EVERY_MS
+    if context.now_ms >= session.next_model_share_ms:
+        session.next_model_share_ms = context.now_ms + _MODEL_SHARE_INTERVAL_MS
         _pressure.share_model(context)
 
 
-def _note_services(message: Gossip, context: Context) -> None:
-    """Note which services have a task now."""
+def _record_services(message: Gossip, context: Context) -> None:
+    """Record when a cell last reported a task of each service."""
     for summary in message.summaries:
         for service in summary.services:
             context.state.service_told_ms[service] = context.now_ms
 
 
 def make_gossip(context: Context) -> Gossip:
-    """Return what this instance tells its peers about itself."""
+    """Return the status message that this instance sends to its peers."""
     state = context.state
     return Gossip(
         summaries=make_summaries(context),
@@ -133,7 +143,7 @@
 
 @handle.register
 def _(event: Ticked, context: Context) -> None:
-    """Do nothing here: the tickers run after every tick."""
+    """Do nothing: ``core.reduce`` runs the tickers after this handler."""
 
 
 @handle.register
@@ -176,14 +186,14 @@
     session.renewing = False
     session.store_reachable = False
     limit_ms = session.renewed_ms + context.state.config.detached_limit_ms
-    asked_since = event.sent_ms >= session.suspect_since_ms
+    was_sent_after_stall = event.sent_ms >= session.suspect_since_ms
     if (
         session.standing is Standing.SUSPECT
-        and asked_since
+        and was_sent_after_stall
         and context.now_ms < limit_ms
     ):
-        # The table was asked after the stall and nobody answers: this is
-        # an outage, and running work is kept alive through it.
+        # The table does not answer a renewal sent after the stall. This is
+        # an outage of the store, during which running work is kept alive.
         session.standing = Standing.DETACHED
 
 
@@ -217,18 +227,18 @@
     _update_peers(context, event.leases)
     _units.adopt_ownership(context, event.ownership, event.ownership_version)
     _units.plan_takeover(context)
-    _bundling.note_head(
+    _bundling.update_rolled_bundle(
         context, event.bundle_number, event.bundle_state, event.bundle_approved
     )
 
 
 def _update_peers(context: Context, leases: tuple[LeaseRow, ...]) -> None:
     state = context.state
-    seen = set()
+    live_ids = set()
     for lease in leases:
         if lease.session_id == state.session.session_id:
             continue
-        seen.add(lease.session_id)
+        live_ids.add(lease.session_id)
         peer = state.peers.get(lease.session_id)
         if peer is None:
             state.peers[lease.session_id] = PeerState(
@@ -239,35 +249,35 @@
             peer.changed_ms = context.now_ms
         peer.lease = lease
         peer.leaving = lease.leaving
-    for session_id in set(state.peers) - seen:
-        end_peer(context, session_id)
-    _note_restarts(context)
+    for session_id in set(state.peers) - live_ids:
+        remove_peer(context, session_id)
+    _mark_restarted_predecessors(context)
 
 
-def end_peer(context: Context, session_id: str) -> None:
-    """Note that a peer's session is over."""
+def remove_peer(context: Context, session_id: str) -> None:
+    """Remove a peer whose session ended, and all that depends on it."""
     state = context.state
     state.peers.pop(session_id, None)
     state.heard_sequences.pop(session_id, None)
     state.model.drop_shared(session_id)
     state.ended_sessions[session_id] = context.now_ms
-    if len(state.ended_sessions) > _ENDED_KEPT:
+    if len(state.ended_sessions) > _MAX_ENDED_SESSIONS:
         state.ended_sessions.pop(next(iter(state.ended_sessions)))
     _requests.lose_peer(context, session_id)
 
 
-def _note_restarts(context: Context) -> None:
-    """Tell cells when their predecessor's instance runs a new session."""
+def _mark_restarted_predecessors(context: Context) -> None:
+    """Mark predecessors as gone whose instance runs a new session."""
     state = context.state
-    instances = {
+    session_ids = {
         peer.lease.instance_id: session_id
         for session_id, peer in state.peers.items()
     }
-    instances[state.config.instance_id] = state.session.session_id
+    session_ids[state.config.instance_id] = state.session.session_id
     for cell in state.cells.values():
-        current = instances.get(cell.predecessor_instance)
-        if current is not None and current != cell.predecessor:
-            _units.note_predecessor_gone(context, cell)
+        current_id = session_ids.get(cell.predecessor_instance)
+        if current_id is not None and current_id != cell.predecessor:
+            _units.mark_predecessor_gone(context, cell)
 
 
 @handle.register
@@ -275,23 +285,25 @@
     state = context.state
     state.workers = {worker.worker_id: worker for worker in event.workers}
     state.listed_instances = frozenset(event.instances)
-    state.list_known = True
+    state.has_worker_list = True
     for worker in event.workers:
-        place = (worker.failure_domain, worker.region)
-        state.cell_places[cell_unit(worker.cell)] = place
+        location = (worker.failure_domain, worker.region)
+        state.cell_locations[cell_unit(worker.cell)] = location
     _units.update_workers(context)
     for cell in state.cells.values():
         instance = cell.predecessor_instance
         if instance and instance not in state.listed_instances:
-            _units.note_predecessor_gone(context, cell)
+            _units.mark_predecessor_gone(context, cell)
 
 
 @handle.register
 def _(event: PeerReceived, context: Context) -> None:
     state = context.state
-    last = state.heard_sequences.get(event.session_id, 0)
-    ended = event.session_id in state.ended_sessions
-    if event.sequence <= last or (ended and state.config.seams.fencing):
+    last_sequence = state.heard_sequences.get(event.session_id, 0)
+    is_ended = event.session_id in state.ended_sessions
+    if event.sequence <= last_sequence or (
+        is_ended and state.config.seams.fencing
+    ):
         return
     state.heard_sequences[event.session_id] = event.sequence
     peer = state.peers.get(event.session_id)
@@ -320,7 +332,7 @@
 def _(event: OwnershipWritten, context: Context) -> None:
     context.state.session.writing_ownership = False
     for session_id in event.revoked:
-        end_peer(context, session_id)
+        remove_peer(context, session_id)
     _units.adopt_ownership(context, event.ownership, event.ownership_version)
     context.state.session.next_gossip_ms = context.now_ms
 
@@ -336,6 +348,6 @@
     peer.store_reachable = message.store_reachable
     peer.leaving = message.leaving
     peer.summaries = {entry.unit: entry for entry in message.summaries}
-    _note_services(message, context)
+    _record_services(message, context)
     if message.ownership_version > state.ownership_version:
         state.session.next_poll_ms = context.now_ms
--- a/src/tulippin/_quotas.py
+++ b/src/tulippin/_quotas.py
@@ -1,4 +1,4 @@
-"""Admission: what a team may hold, and jobs that could never run."""
+"""Admission control: team quotas, and refusal of jobs that can't run."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 def check_job(context: Context, spec: JobSpec) -> str:
-    """Return why a job is refused, or an empty text.
+    """Return the code with which a job is refused, or an empty string.
 
-    A job is refused if no worker known could ever hold one of its
-    tasks, or if its team is unknown to the bundle or over its priority.
+    A job is refused if its team is not in the bundle, if its priority
+    exceeds the team's limit, or if no known worker has the capacity for
+    one of its tasks.
     """
     state = context.state
     if state.bundle is not None and state.bundle.teams:
@@ -32,30 +33,34 @@
 
 
 @attrs.define
-class TeamUse:
-    """What each team holds of the shares kept here, for one round."""
+class TeamUsage:
+    """Processors used by each team against its share, in millicores.
+
+    It is computed for one dispatch round and updated with each task that
+    the round assigns. A team without an entry in ``shares`` has no limit.
+    """
 
     shares: dict[str, int]
     used: collections.Counter[str]
 
-    def has_room(self, spec: JobSpec) -> bool:
-        """Tell whether a team's share has room for one more task."""
+    def has_quota(self, spec: JobSpec) -> bool:
+        """Return whether the team's share allows one more task of a job."""
         share = self.shares.get(spec.team)
         if share is None:
             return True
         return self.used[spec.team] + spec.size.cpu_millicores <= share
 
     def add(self, spec: JobSpec) -> None:
-        """Count one more task."""
+        """Add one more task of a job to its team's usage."""
         self.used[spec.team] += spec.size.cpu_millicores
 
 
-def count_use(context: Context) -> TeamUse:
-    """Return each team's share and use over the ranges owned here.
+def count_team_usage(context: Context) -> TeamUsage:
+    """Return each team's share and usage over the active owned ranges.
 
-    Every range holds an equal share of each team's quota, so the
-    shares' sum never exceeds it. A range that is still being loaded
-    counts on neither side.
+    Every range holds an equal share of each team's quota, so the sum of
+    the shares never exceeds it. A range that is not active counts for
+    neither share nor usage.
     """
     state = context.state
     bundle = state.bundle
@@ -70,18 +75,18 @@
         for limit in limits
         if limit.cpu_millicores
     }
-    use = TeamUse(shares, collections.Counter())
+    usage = TeamUsage(shares, collections.Counter())
     if shares:
         for home in homes:
-            _count_home(home, use)
-    return use
+            _add_home_usage(home, usage)
+    return usage
 
 
-def _count_home(home: RangeState, use: TeamUse) -> None:
-    """Count what is assigned, and what is about to be."""
+def _add_home_usage(home: RangeState, usage: TeamUsage) -> None:
+    """Add a range's assigned tasks and pending assignments."""
     for spec in home.assigning.values():
-        use.add(spec)
+        usage.add(spec)
     for offer in home.offers.values():
         job = home.ledger.jobs.get(offer.task.job_id)
         if job is not None:
-            use.add(job.spec)
+            usage.add(job.spec)
--- a/src/tulippin/_spreading.py
+++ b/src/tulippin/_spreading.py
@@ -1,7 +1,8 @@
-"""Who should own which unit: even numbers, and cells kept close.
+"""Choice of owners: balance the number of units, keep cells close.
 
 An owner in a cell's region still reaches the cell's workers when the
-regions lose each other; one in its failure domain fails with it.
+regions are partitioned. An owner in the cell's failure domain fails
+together with the cell.
 """
 
 from __future__ import annotations
@@ -18,7 +19,10 @@
 
 
 def count_units(context: Context) -> Counts:
-    """Return each live session's number of ranges and of cells."""
+    """Return each live session's number of ranges and number of cells.
+
+    Sessions that are stopping are left out: they get no more units.
+    """
     state = context.state
     counts = {
         session_id: [0, 0]
@@ -34,7 +38,7 @@
 
 
 def is_expired(context: Context, session_id: str) -> bool:
-    """Tell whether a peer's lease has been seen to lapse."""
+    """Return whether a peer is unknown or its lease row is overdue."""
     state = context.state
     peer = state.peers.get(session_id)
     if peer is None:
@@ -44,22 +48,25 @@
 
 
 def get_distance(context: Context, session_id: str, unit: str) -> int:
-    """Return the cost of the way between a session and a unit."""
-    place = context.state.cell_places.get(unit)
-    if place is None:
+    """Return the cost of the distance between a session and a unit.
+
+    A cost of 3 weighs as much as 3 more owned units.
+    """
+    location = context.state.cell_locations.get(unit)
+    if location is None:
         return 0
     config = context.state.config
-    own: tuple[str, str] = (config.failure_domain, config.region)
+    owner_location: tuple[str, str] = (config.failure_domain, config.region)
     peer = context.state.peers.get(session_id)
     if peer is not None:
-        own = (peer.lease.failure_domain, peer.lease.region)
-    if own[1] != place[1]:
+        owner_location = (peer.lease.failure_domain, peer.lease.region)
+    if owner_location[1] != location[1]:
         return _OTHER_REGION_COST
-    return 0 if own[0] == place[0] else _SAME_REGION_COST
+    return 0 if owner_location[0] == location[0] else _SAME_REGION_COST
 
 
 def pick_owner(context: Context, counts: Counts, unit: str) -> str:
-    """Return the session for which one more unit costs the least."""
+    """Return the session that would own the unit at the lowest cost."""
     kind = is_cell(unit)
     return min(
         counts,
@@ -71,10 +78,11 @@
 
 
 def choose_surplus(context: Context) -> list[str]:
-    """Return the own units that another session should have.
+    """Return the own units that should move to another session.
 
-    A unit moves only if that lowers the cost, so two owners never pass
-    one back and forth.
+    A unit moves only if that lowers the total cost, so that it never
+    moves back and forth between two owners. A stopping session returns
+    all its units if another session is live.
     """
     state = context.state
     counts = count_units(context)
@@ -83,19 +91,23 @@
     if not counts or state.session.stopping_since_ms is not None:
         return units if counts else []
     surplus = []
-    ordered = sorted((_get_key(context, own, unit), unit) for unit in units)
+    ordered = sorted(
+        (_get_transfer_order(context, own, unit), unit) for unit in units
+    )
     for _, unit in ordered:
         kind = is_cell(unit)
         target = pick_owner(context, counts, unit)
-        cost = counts[target][kind] + get_distance(context, target, unit) + 1
-        kept = counts[own][kind] + get_distance(context, own, unit)
-        if target != own and kept > cost:
+        target_cost = (
+            counts[target][kind] + get_distance(context, target, unit) + 1
+        )
+        own_cost = counts[own][kind] + get_distance(context, own, unit)
+        if target != own and own_cost > target_cost:
             surplus.append(unit)
             counts[own][kind] -= 1
             counts[target][kind] += 1
     return surplus
 
 
-def _get_key(context: Context, own: str, unit: str) -> int:
-    """Order units so that the most distant are given away first."""
+def _get_transfer_order(context: Context, own: str, unit: str) -> int:
+    """Return a sort key by which the most distant units move first."""
     return -get_distance(context, own, unit)
--- a/src/tulippin/_units.py
+++ b/src/tulippin/_units.py
@@ -1,4 +1,9 @@
-"""Units and their owners: takeover, spreading and planned hand-over."""
+"""Ownership of units: creation, takeover, rebalancing and hand-over.
+
+The ownership row of the table names the owner and the epoch of every
+unit. This module adopts new versions of the row, and proposes changes
+to it.
+"""
 
 from __future__ import annotations
 
@@ -31,14 +36,14 @@
     range_unit,
 )
 
-_RANK_DELAY_MS = 400
-_HAND_OVER_BATCH = 16
+_TAKEOVER_DELAY_PER_RANK_MS = 400
+_MAX_UNITS_PER_HAND_OVER = 16
 
 
 def adopt_ownership(
     context: Context, ownership: Ownership, version: int
 ) -> None:
-    """Take a newer ownership row into use: gain and lose units."""
+    """Adopt a newer ownership row: drop lost units and load new ones."""
     state = context.state
     if version <= state.ownership_version:
         return
@@ -47,32 +52,31 @@
     own = state.session.session_id
     for unit in list(state.iter_units()):
         holder = ownership.units.get(unit.unit)
-        held = holder is not None and (
+        is_still_owned = holder is not None and (
             (holder.session_id, holder.epoch) == (own, unit.epoch)
         )
-        if not held and state.config.seams.fencing:
+        if not is_still_owned and state.config.seams.fencing:
             drop_unit(context, unit)
-    _gain_units(context)
+    _acquire_units(context)
 
 
-def _gain_units(context: Context) -> None:
-    """Take up the units that the ownership row gives to this session.
+def _acquire_units(context: Context) -> None:
+    """Load the units that the ownership row assigns to this session.
 
-    A row that was adopted while the lease was in doubt is looked at
-    again on a later tick.
+    Without a valid lease nothing is loaded; a later tick tries again.
     """
     state = context.state
     version = state.ownership_version
-    if not context.may_act or state.session.gained_version == version:
+    if not context.may_act or state.session.acquired_version == version:
         return
-    state.session.gained_version = version
+    state.session.acquired_version = version
     own = state.session.session_id
     for name, holder in state.ownership.units.items():
         if holder.session_id == own and state.get_unit(name) is None:
-            _gain_unit(context, name, holder)
+            _acquire_unit(context, name, holder)
 
 
-def _gain_unit(context: Context, name: str, holder: Holder) -> None:
+def _acquire_unit(context: Context, name: str, holder: Holder) -> None:
     state = context.state
     if is_cell(name):
         cell = CellState(name, holder.epoch, owned_since_ms=context.now_ms)
@@ -88,12 +92,12 @@
 
 
 def get_instance_id(session_id: str) -> str:
-    """Return the instance of a session; the id is ``instance:nonce``."""
+    """Return the instance of a session, whose id is ``instance:nonce``."""
     return session_id.rpartition(':')[0]
 
 
 def step_down(context: Context) -> None:
-    """Forget everything that belonged to a revoked session."""
+    """Drop all units and the journal of this revoked session."""
     state = context.state
     for unit in list(state.iter_units()):
         drop_unit(context, unit)
@@ -107,17 +111,17 @@
     )
     state.journal.unit_counts.clear()
     state.session.writing_ownership = False
-    # The row must be read anew: the next session owns none of it.
+    # The next session owns no units, so it must adopt the row again.
     state.ownership_version = 0
-    state.session.gained_version = 0
+    state.session.acquired_version = 0
 
 
 def tick(context: Context) -> None:
-    """Create missing units, even out, and go on with hand-overs."""
-    _finish_stop(context)
+    """Create missing units, rebalance, and continue hand-overs."""
+    _advance_stop(context)
     if not context.may_act:
         return
-    _gain_units(context)
+    _acquire_units(context)
     _finish_hand_over(context)
     session = context.state.session
     if context.now_ms < session.next_rebalance_ms:
@@ -129,20 +133,24 @@
     _begin_hand_over(context)
 
 
-def _get_rank(context: Context) -> int:
-    """Return this session's place among the live, for taking turns."""
+def _get_session_rank(context: Context) -> int:
+    """Return the rank of this session's id among the live sessions.
+
+    The first one creates units. Takeovers are delayed by rank, so that
+    the sessions don't all write the ownership row at the same time.
+    """
     own = context.state.session.session_id
     return sum(session_id < own for session_id in context.state.peers)
 
 
 def _create_units(context: Context) -> None:
     state = context.state
-    if state.session.writing_ownership or not state.list_known:
+    if state.session.writing_ownership or not state.has_worker_list:
         return
-    wanted = {cell_unit(worker.cell) for worker in state.workers.values()}
-    wanted.update(map(range_unit, range(state.config.range_count)))
-    missing = sorted(wanted - set(state.ownership.units))
-    if not missing or _get_rank(context) > 0:
+    expected = {cell_unit(worker.cell) for worker in state.workers.values()}
+    expected.update(map(range_unit, range(state.config.range_count)))
+    missing = sorted(expected - set(state.ownership.units))
+    if not missing or _get_session_rank(context) > 0:
         return
     counts = count_units(context)
     units = dict(state.ownership.units)
@@ -175,7 +183,7 @@
 def _trim_chains(
     context: Context, units: dict[str, Holder]
 ) -> dict[str, Holder]:
-    """Drop the sources of own units whose state is published already."""
+    """Remove the sources of own units whose state is published already."""
     trimmed = dict(units)
     for unit in context.state.iter_units():
         holder = trimmed.get(unit.unit)
@@ -190,19 +198,19 @@
 
 
 def plan_takeover(context: Context) -> None:
-    """Revoke lapsed sessions and spread their units over the live.
+    """Revoke expired sessions and assign their units to live sessions.
 
-    Runs only on a fresh poll, so an unchanged lease row has surely been
-    seen unchanged for the whole lease.
+    Must be called just after a poll of the table. Only then is it known
+    that an unchanged lease row stayed unchanged for the whole lease.
     """
     state = context.state
     if state.session.writing_ownership or not context.may_act:
         return
     if state.session.stopping_since_ms is not None and state.peers:
         return
-    dead = _find_dead(context)
-    orphaned = _find_orphaned(context, dead)
-    if not dead and not orphaned:
+    expired = _find_expired_sessions(context)
+    orphaned = _find_orphaned_units(context, expired)
+    if not expired and not orphaned:
         return
     counts = count_units(context)
     units = dict(state.ownership.units)
@@ -215,15 +223,15 @@
     state.counters['takeovers'] += 1
     state.counters['units_taken_over'] += len(orphaned)
     _write_ownership(
-        context, units, tuple(state.peers[name].lease for name in dead)
+        context, units, tuple(state.peers[name].lease for name in expired)
     )
 
 
-def _find_dead(context: Context) -> list[str]:
+def _find_expired_sessions(context: Context) -> list[str]:
     state = context.state
-    wait_ms = _get_rank(context) * _RANK_DELAY_MS
+    delay_ms = _get_session_rank(context) * _TAKEOVER_DELAY_PER_RANK_MS
     config = state.config
-    limit_ms = config.lease_ms + config.lease_margin_ms + wait_ms
+    limit_ms = config.lease_ms + config.lease_margin_ms + delay_ms
     return sorted(
         session_id
         for session_id, peer in state.peers.items()
@@ -231,16 +239,18 @@
     )
 
 
-def _find_orphaned(context: Context, dead: t.Collection[str]) -> list[str]:
+def _find_orphaned_units(
+    context: Context, expired: t.Collection[str]
+) -> list[str]:
     state = context.state
     own = state.session.session_id
-    first = _get_rank(context) == 0
+    is_first = _get_session_rank(context) == 0
     return sorted(
         name
         for name, holder in state.ownership.units.items()
-        if holder.session_id in dead
+        if holder.session_id in expired
         or (
-            first
+            is_first
             and holder.session_id not in state.peers
             and holder.session_id != own
         )
@@ -279,32 +289,38 @@
 
 
 def update_workers(context: Context) -> None:
-    """Bring the cells' workers in line with the platform's list."""
+    """Update the workers of all loaded cells from the platform's list."""
     for cell in context.state.cells.values():
         if cell.phase is not Phase.LOADING:
             _cells.update_workers(context, cell)
 
 
-def note_predecessor_gone(context: Context, cell: CellState) -> None:
-    """Shorten the wait for old leases: their giver has surely ended."""
+def mark_predecessor_gone(context: Context, cell: CellState) -> None:
+    """Shorten the wait for worker leases of a cell's ended predecessor.
+
+    The predecessor renews no lease any more, so those of workers that
+    have not answered yet lapse within one lease and the margin.
+    """
     if cell.predecessor_gone:
         return
     cell.predecessor_gone = True
     config = context.state.config
-    bound_ms = context.now_ms + config.worker_lease_ms + config.lease_margin_ms
+    lapse_limit_ms = (
+        context.now_ms + config.worker_lease_ms + config.lease_margin_ms
+    )
     for worker in cell.workers.values():
         if worker.last_reply_ms < 0:
-            worker.lapse_ms = min(worker.lapse_ms, bound_ms)
+            worker.lapse_ms = min(worker.lapse_ms, lapse_limit_ms)
 
 
 def _begin_hand_over(context: Context) -> None:
-    """Choose units to give away, if this session holds too many."""
+    """Start handing over units if this session owns too many."""
     state = context.state
     if state.session.writing_ownership:
         return
     if any(unit.phase is Phase.HANDING_OVER for unit in state.iter_units()):
         return
-    for name in choose_surplus(context)[:_HAND_OVER_BATCH]:
+    for name in choose_surplus(context)[:_MAX_UNITS_PER_HAND_OVER]:
         unit = state.get_unit(name)
         if unit is not None and unit.phase is Phase.ACTIVE:
             unit.phase = Phase.HANDING_OVER
@@ -312,26 +328,29 @@
 
 
 def _finish_hand_over(context: Context) -> None:
-    """Give away the units whose records are all durable."""
+    """Hand over the outgoing units once the records of all are durable."""
     state = context.state
     if state.session.writing_ownership or not state.session.store_reachable:
         return
-    leaving = [
+    outgoing = [
         unit for unit in state.iter_units() if unit.phase is Phase.HANDING_OVER
     ]
-    if not leaving or not all(_is_quiet(context, unit) for unit in leaving):
+    if not outgoing or not all(_is_idle(context, unit) for unit in outgoing):
         return
     counts = count_units(context)
     counts.pop(state.session.session_id, None)
     if not counts:
-        for unit in leaving:
+        for unit in outgoing:
             unit.phase = Phase.ACTIVE
         return
-    _hand_over(context, leaving, counts)
+    _hand_over(context, outgoing, counts)
+
 
+def _is_idle(context: Context, unit: UnitState) -> bool:
+    """Return whether a unit has neither pending records nor open requests.
 
-def _is_quiet(context: Context, unit: UnitState) -> bool:
-    """Tell whether nothing of a unit is on its way any more."""
+    The open requests of a range count until the end of the hand-over wait.
+    """
     if context.state.journal.unit_counts[unit.unit]:
         return False
     waited_ms = context.now_ms - unit.owned_since_ms
@@ -342,13 +361,13 @@
 
 def _hand_over(
     context: Context,
-    leaving: list[UnitState],
+    outgoing: list[UnitState],
     counts: dict[str, list[int]],
 ) -> None:
     state = context.state
     units = dict(state.ownership.units)
     bases = []
-    for unit in leaving:
+    for unit in outgoing:
         holder = units[unit.unit]
         target = pick_owner(context, counts, unit.unit)
         counts[target][is_cell(unit.unit)] += 1
@@ -359,27 +378,28 @@
         units[unit.unit] = Holder(target, holder.epoch + 1, key)
         body = codec.encode_ledgers([(unit.unit, unit.epoch, unit.ledger)])
         bases.append((key, body))
-    state.counters['units_handed_over'] += len(leaving)
+    state.counters['units_handed_over'] += len(outgoing)
     _write_ownership(context, units, bases=tuple(bases))
 
 
-def _finish_stop(context: Context) -> None:
-    """Leave step by step: hand over, take nothing new, finish, go.
+def _advance_stop(context: Context) -> None:
+    """Advance a planned stop: hand over, drain, close the session.
 
-    Requests in progress are never cut: past the drain limit nothing new
-    is taken, and each request in progress ends by its own deadline.
+    Requests in progress are never aborted. Once all units are handed
+    over, or past the drain limit, new requests are refused, and those in
+    progress end by their own deadlines.
     """
     state = context.state
     session = state.session
     since_ms = session.stopping_since_ms
     if since_ms is None or session.standing is Standing.LEFT:
         return
-    drained = not state.config.seams.stop_drain or (
+    is_drain_over = not state.config.seams.stop_drain or (
         context.now_ms - since_ms >= state.config.drain_limit_ms
     )
-    session.refusing = session.refusing or drained or _is_drained(context)
-    busy = bool(state.tickets or state.job_calls or state.report_calls)
-    if not session.refusing or (busy and state.config.seams.stop_drain):
+    session.refusing = session.refusing or is_drain_over or _is_drained(context)
+    is_busy = bool(state.tickets or state.job_calls or state.report_calls)
+    if not session.refusing or (is_busy and state.config.seams.stop_drain):
         return
     session.standing = Standing.LEFT
     context.emit(fx.CloseSession(session.session_id))
@@ -387,10 +407,13 @@
 
 
 def _is_drained(context: Context) -> bool:
-    """Tell whether nothing is owned, or nobody is there to take it."""
+    """Return whether all records are durable and all units handed over.
+
+    Units may remain if there is no session to hand them over to.
+    """
     state = context.state
     journal = state.journal
     if journal.pending or journal.in_flight:
         return False
-    heirs = [peer for peer in state.peers.values() if not peer.leaving]
-    return not heirs or not (state.cells or state.ranges)
+    successors = [peer for peer in state.peers.values() if not peer.leaving]
+    return not successors or not (state.cells or state.ranges)
--- a/src/tulippin/core.py
+++ b/src/tulippin/core.py
@@ -1,7 +1,7 @@
-"""The reducer: one function over all events, effects as data.
+"""The reducer: applies events to the state and returns effects as data.
 
-``reduce`` reads no clock, no random source and no socket. The same
-events in the same order give the same state and the same effects.
+``reduce`` reads no clock, no external random source and no socket. The
+same events in the same order give the same state and the same effects.
 """
 
 from __future__ import annotations
@@ -41,38 +41,38 @@
 
 
 def reduce(state: State, event: Event) -> tuple[Effect, ...]:
-    """Take one event, change the state, and return the effects.
+    """Apply an event to the state and return the resulting effects.
 
     Parameters
     ----------
     state : State
         The instance's state; changed in place.
     event : Event
-        What happened, with its time.
+        The event, with the time at which it occurred.
 
     Returns
     -------
     tuple of Effect
-        What the shell is to do, in this order.
+        The effects that the shell performs, in this order.
     """
     state.now_ms = max(state.now_ms, event.at_ms)
     context = Context(state)
     _membership.update_standing(context)
     handle(event, context)
-    _run_local(context)
+    _receive_local_messages(context)
     if isinstance(event, Ticked):
         for ticker in _TICKERS:
             ticker(context)
-            _run_local(context)
+            _receive_local_messages(context)
     _journal.flush(context)
     context.flush_outbox()
     return tuple(context.effects)
 
 
-def _run_local(context: Context) -> None:
-    while context.local:
+def _receive_local_messages(context: Context) -> None:
+    while context.local_messages:
         receive(
-            context.local.popleft(),
+            context.local_messages.popleft(),
             context.state.session.session_id,
             context,
         )
--- a/src/tulippin/state.py
+++ b/src/tulippin/state.py
@@ -1,4 +1,4 @@
-"""The state of one instance: what the reducer reads and changes."""
+"""The state of an instance, which the reducer reads and changes."""
 
 from __future__ import annotations
 
@@ -32,32 +32,34 @@
 
 @attrs.frozen
 class Seams:
-    """Safeguards that only tests switch off, to see the checker object.
+    """Safeguards that tests switch off, to check that the checker objects.
 
     Parameters
     ----------
     fencing : bool
-        A session that is revoked or lapsed stops acting.
+        A session whose lease is revoked or lapsed stops acting.
     read_back : bool
-        A write whose answer is lost is read back; off: taken for done.
+        A write whose answer is lost is read back; when off, it counts as
+        done.
     lease_wait : bool
-        A silent worker's tasks wait until its leases surely lapsed.
+        Tasks of a silent worker start elsewhere only after its leases lapse.
     deduplication : bool
-        The id of a non-repeatable request runs once.
+        A non-repeatable request runs at most once for each request id.
     drain : bool
-        A leaving worker gets nothing new.
+        A leaving worker gets no new work.
     stop_drain : bool
-        A planned stop waits for what is in progress.
+        A planned stop waits for requests and calls in progress.
     capacity : bool
-        Only workers with room get an attempt.
+        Attempts start only on workers with enough free capacity.
     bundle_order : bool
-        A lower bundle is never taken.
+        A bundle with a lower number is never adopted.
     not_run_proof : bool
-        A broken call is unknown; off: it is told as not run.
+        A call that broke off has an unknown outcome; when off, it is
+        reported as not run.
     answer_match : bool
-        An answer is held against its request and its length.
+        An answer is checked against its request and its stated length.
     checkpoints : bool
-        The next attempt begins from the last one's checkpoint.
+        An attempt resumes from the checkpoint of the previous one.
     """
 
     fencing: bool = True
@@ -75,7 +77,7 @@
 
 @attrs.frozen
 class Config:
-    """What an instance knows from its settings; times in milliseconds."""
+    """The settings of an instance that the reducer uses."""
 
     instance_id: str
     failure_domain: str
@@ -114,12 +116,13 @@
 
 
 class Standing(enum.Enum):
-    """What the instance may do, by what it knows of its session.
+    """The standing of the session, which decides what the instance may do.
 
-    ``DETACHED``: the lease lapsed while the store did not answer; work
-    that runs is kept alive, nothing new is begun. ``SUSPECT``: the
-    lease lapsed while this process stood still; it does nothing until
-    the table confirms the session.
+    ``OPENING``: there is no session yet. ``ACTIVE``: the lease is valid.
+    ``DETACHED``: the lease lapsed while the store did not answer; running
+    work is kept alive, nothing new is started. ``SUSPECT``: the lease
+    lapsed while this process was stalled; it does nothing until the table
+    confirms the session. ``LEFT``: a planned stop is complete.
     """
 
     OPENING = 'opening'
@@ -130,7 +133,7 @@
 
 
 class Phase(enum.Enum):
-    """Where an owned unit stands."""
+    """The phase of an owned unit."""
 
     LOADING = 'loading'
     ACTIVE = 'active'
@@ -155,11 +158,11 @@
     next_poll_ms: int = 0
     next_list_ms: int = 0
     next_gossip_ms: int = 0
-    next_share_ms: int = 0
+    next_model_share_ms: int = 0
     next_rebalance_ms: int = 0
     next_dispatch_ms: int = 0
     writing_ownership: bool = False
-    gained_version: int = 0
+    acquired_version: int = 0
     stopping_since_ms: int | None = None
     refusing: bool = False
     wall_offset_ms: int = 0
@@ -167,7 +170,7 @@
 
 @attrs.define
 class PeerState:
-    """Another instance's session, as seen from here."""
+    """The session of another instance, as this instance sees it."""
 
     lease: LeaseRow
     changed_ms: int
@@ -181,7 +184,7 @@
 
 @attrs.define
 class JournalState:
-    """Records on their way into the table."""
+    """Uncommitted records, and the position in the journal ring."""
 
     pending: list[UnitRecord] = attrs.field(factory=list)
     in_flight: tuple[UnitRecord, ...] = ()
@@ -197,7 +200,7 @@
 
 @attrs.define
 class WorkerState:
-    """A worker of an owned cell: what is not kept durably."""
+    """The volatile state of a worker of an owned cell."""
 
     info: WorkerInfo
     incarnation: str = ''
@@ -247,12 +250,12 @@
 
     @property
     def free(self) -> Resources:
-        """Return what is not reserved."""
+        """Return the capacity that is not reserved."""
         return self.info.capacity.subtract(self.reserved)
 
     @property
     def free_slots(self) -> int:
-        """Return how many more requests may run on the worker."""
+        """Return the number of further requests that the worker may run."""
         busy = len(self.dispatched) + self.foreign_busy
         limit = min(self.info.slot_count, self.info.connection_count)
         return limit - busy
@@ -283,7 +286,10 @@
 
 @attrs.define
 class OfferState:
-    """An assigned attempt that waits for its cell's word."""
+    """An assigned attempt of a task, offered to its cell.
+
+    ``held_epoch`` is the cell's epoch that confirmed the attempt, or 0.
+    """
 
     task: TaskRef
     cell: str
@@ -294,7 +300,11 @@
 
 @attrs.define(order=True)
 class QueuedTask:
-    """A task that waits for a cell; the heap orders by these fields."""
+    """A heap entry for one or more tasks that wait for a cell.
+
+    Only ``rank`` decides the order. A negative ``index`` stands for all
+    tasks of the job that were never assigned.
+    """
 
     rank: tuple[int, int]
     job_id: str = attrs.field(order=False)
@@ -311,7 +321,7 @@
     ledger: RangeLedger = attrs.field(factory=RangeLedger)
     owned_since_ms: int = 0
     queue: list[QueuedTask] = attrs.field(factory=list)
-    fresh_jobs: dict[str, int] = attrs.field(factory=dict)
+    fresh_indexes: dict[str, int] = attrs.field(factory=dict)
     offers: dict[str, OfferState] = attrs.field(factory=dict)
     returning: dict[str, int] = attrs.field(factory=dict)
     assigning: dict[str, JobSpec] = attrs.field(factory=dict)
@@ -328,14 +338,14 @@
 
 @attrs.frozen
 class CallerOrigin:
-    """The request came from a caller of this instance."""
+    """Origin of a request that a caller sent to this instance."""
 
     call_id: int
 
 
 @attrs.frozen
 class PeerOrigin:
-    """The request came from a peer."""
+    """Origin of a request that a peer forwarded."""
 
     session_id: str
     call_id: int
@@ -343,7 +353,7 @@
 
 @attrs.frozen
 class TicketOrigin:
-    """The request is one try of another ticket on this instance."""
+    """Origin of a request that is a try of another ticket here."""
 
     ticket: int
 
@@ -352,7 +362,7 @@
 
 
 class Stage(enum.Enum):
-    """What a ticket is doing."""
+    """The processing stage of a ticket."""
 
     ROUTING = 'routing'
     OPENING = 'opening'
@@ -365,7 +375,7 @@
 
 @attrs.define
 class Ticket:
-    """A request on its way through this instance."""
+    """A request in progress on this instance."""
 
     ticket: int
     origin: Origin
@@ -390,7 +400,7 @@
 
 @attrs.define
 class JobCall:
-    """A job operation that waits for its home."""
+    """A job operation that waits for a reply of the job's home unit."""
 
     call_id: int
     message: JobForwarded
@@ -400,7 +410,7 @@
 
 @attrs.define
 class ReportCall:
-    """A merged report that waits for the peers' parts."""
+    """A merged report that waits for parts from the peers."""
 
     call_id: int
     waiting: set[str]
@@ -410,7 +420,7 @@
 
 @attrs.define
 class State:
-    """Everything that one instance holds."""
+    """The whole state of an instance."""
 
     config: Config
     now_ms: int = 0
@@ -421,13 +431,13 @@
     peers: dict[str, PeerState] = attrs.field(factory=dict)
     ended_sessions: dict[str, int] = attrs.field(factory=dict)
     heard_sequences: dict[str, int] = attrs.field(factory=dict)
-    # When a cell with a task of a service was last told of, by any owner.
+    # When any cell owner last reported a task of the service.
     service_told_ms: dict[str, int] = attrs.field(factory=dict)
     journal: JournalState = attrs.field(factory=JournalState)
     workers: dict[str, WorkerInfo] = attrs.field(factory=dict)
     listed_instances: frozenset[str] = frozenset()
-    list_known: bool = False
-    cell_places: dict[str, tuple[str, str]] = attrs.field(factory=dict)
+    has_worker_list: bool = False
+    cell_locations: dict[str, tuple[str, str]] = attrs.field(factory=dict)
     cells: dict[str, CellState] = attrs.field(factory=dict)
     ranges: dict[str, RangeState] = attrs.field(factory=dict)
     bundle: Bundle | None = None
@@ -449,7 +459,7 @@
     )
 
     def get_unit(self, unit: str) -> UnitState | None:
-        """Return the owned unit, or nothing."""
+        """Return the owned unit, or ``None`` if it is not owned."""
         return self.cells.get(unit) or self.ranges.get(unit)
 
     def iter_units(self) -> t.Iterator[UnitState]:
@@ -459,5 +469,8 @@
 
     @property
     def wall_ms(self) -> int:
-        """Return the time of day as of the last event, for labels only."""
+        """Return the wall clock time of the last event.
+
+        It serves for labels, trial windows and retention, never for leases.
+        """
         return self.now_ms + self.session.wall_offset_ms
--- a/tests/tulippin/test_core.py
+++ b/tests/tulippin/test_core.py
@@ -1,4 +1,4 @@
-"""The reducer is a function of its events alone."""
+"""Tests that the reducer depends on its events alone."""
 
 import ast
 import copy
@@ -42,12 +42,14 @@
 FORBIDDEN = {'time', 'socket', 'os', 'trio', 'httpcore', 'grpc', 'asyncio'}
 
 
-async def record_fleet(logs):
+async def record_fleet(recordings):
     size = FleetSize(3, 2, 2)
     async with Fleet(size, seed=3) as fleet:
         for process in fleet.iter_live():
-            log = logs.setdefault(process.name, (process.shell.config, []))
-            wrap_recorder(process.shell, log[1])
+            recording = recordings.setdefault(
+                process.name, (process.shell.config, [])
+            )
+            install_recorder(process.shell, recording[1])
         assert await fleet.wait_ready()
         await fleet.submit_surely(
             JobSpec(
@@ -75,7 +77,7 @@
         }
 
 
-def wrap_recorder(shell, log):
+def install_recorder(shell, log):
     def record(event, effects):
         log.append((copy.deepcopy(event), repr(effects)))
 
@@ -83,11 +85,11 @@
 
 
 def test_replay_gives_the_same_state_and_effects(run_virtual):
-    logs = {}
-    dumps = run_virtual(record_fleet, logs)
+    recordings = {}
+    dumps = run_virtual(record_fleet, recordings)
     assert len(dumps) == 2
     for name, dump in dumps.items():
-        config, log = logs[name]
+        config, log = recordings[name]
         state = core.make_state(config)
         for event, effects in log:
             assert repr(core.reduce(state, copy.deepcopy(event))) == effects
--- a/tests/tulippin/test_homes.py
+++ b/tests/tulippin/test_homes.py
@@ -1,4 +1,4 @@
-"""Admission: urgent work, quotas, and old work that waits."""
+"""Tests of admission: urgent jobs, team quotas and starvation."""
 
 import collections
 
@@ -7,7 +7,7 @@
 from tulippin.testing import Fleet, FleetSize, check_history
 from tulippin.types import JobSpec, Resources
 
-SIZE = FleetSize(3, 3, 2, Resources(4000, 16000))
+FLEET_SIZE = FleetSize(3, 3, 2, Resources(4000, 16000))
 URGENT_LIMIT_MS = 9100
 TEAMS = (
     '[bundle]\nname = teams\n[policy p]\nkind = least_loaded\n'
@@ -33,17 +33,17 @@
 
 def test_urgent_work_starts_in_time_in_a_full_fleet(run_virtual):
     async def run():
-        async with Fleet(SIZE, seed=3) as fleet:
+        async with Fleet(FLEET_SIZE, seed=3) as fleet:
             assert await fleet.wait_ready()
             await fleet.submit_surely(make_job('filler', 80, 600000))
             await trio.sleep(20)
-            asked_ms = fleet.get_now_ms()
+            submitted_ms = fleet.get_now_ms()
             urgent = make_job('urgent', 6, 5000, priority=100)
             await fleet.submit_surely(urgent)
             await trio.sleep(20)
             starts = get_starts(fleet, 'urgent')
             assert len(starts) == 6
-            assert max(starts) - asked_ms <= URGENT_LIMIT_MS
+            assert max(starts) - submitted_ms <= URGENT_LIMIT_MS
             await trio.sleep(10)
         assert not check_history(fleet.history)
 
@@ -52,7 +52,7 @@
 
 def test_quota_is_never_exceeded(run_virtual):
     async def run():
-        async with Fleet(SIZE, seed=3) as fleet:
+        async with Fleet(FLEET_SIZE, seed=3) as fleet:
             assert await fleet.wait_ready()
             await fleet.roll_bundle(TEAMS)
             await trio.sleep(3)
@@ -61,11 +61,11 @@
                     make_job(f'job-{number}', 4, 3000, team='small')
                 )
             await trio.sleep(90)
-            running, most = 0, 0
+            running, max_running = 0, 0
             for entry in fleet.history.iter_kind('task_ended', 'task_began'):
                 running += 1 if entry.kind == 'task_began' else -1
-                most = max(most, running)
-            assert 1 <= most <= 6
+                max_running = max(max_running, running)
+            assert 1 <= max_running <= 6
             assert await fleet.submit(make_job('new', 1, team='none')) == (
                 'unknown_team'
             )
@@ -82,17 +82,17 @@
             await fleet.submit_surely(make_job('fill', 2, 20000, priority=5))
             await trio.sleep(1)
             await fleet.submit_surely(make_job('old', 1, 1000))
-            order = collections.deque()
+            submitted_before_old = collections.deque()
             for number in range(60):
                 await fleet.submit_surely(
                     make_job(f'young-{number}', 1, 16000, priority=3)
                 )
                 await trio.sleep(8)
                 if get_starts(fleet, 'old'):
-                    order.append(number)
+                    submitted_before_old.append(number)
                     break
-            # Three steps of priority are a head start of three minutes.
-            assert order
-            assert 15 <= order[0] <= 45
+            # Three priority steps give a head start of three minutes.
+            assert submitted_before_old
+            assert 15 <= submitted_before_old[0] <= 45
 
     run_virtual(run)
--- a/tests/tulippin/test_ledger.py
+++ b/tests/tulippin/test_ledger.py
@@ -1,4 +1,8 @@
-"""Folding a journal gives the same jobs, however it is cut."""
+"""Tests of replaying journal records into ledgers.
+
+A snapshot followed by the remaining records must give the same ledger as
+all records, wherever the snapshot was taken.
+"""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -26,39 +30,41 @@
 
 
 def make_records(plan):
-    found = [records.JobAccepted(SPEC, 'digest')]
+    journal = [records.JobAccepted(SPEC, 'digest')]
     for step in plan:
         if step[0] == 'assign':
-            found.append(records.TaskAssigned('job', step[1], 1, 'cell/a', 1))
+            journal.append(records.TaskAssigned('job', step[1], 1, 'cell/a', 1))
         elif step[0] == 'return':
-            found.append(records.TaskReturned('job', step[1], 1, step[2], 'c'))
+            journal.append(
+                records.TaskReturned('job', step[1], 1, step[2], 'c')
+            )
         elif step[0] == 'cancel':
-            found.append(records.JobCancelled('job'))
+            journal.append(records.JobCancelled('job'))
         elif step[0] == 'open':
-            found.append(records.RequestOpened(f'r{step[1]}', 'd', 1))
+            journal.append(records.RequestOpened(f'r{step[1]}', 'd', 1))
         else:
-            found.append(records.RequestClosed(f'r{step[1]}', step[2], 200))
-    return found
+            journal.append(records.RequestClosed(f'r{step[1]}', step[2], 200))
+    return journal
 
 
-def fold(ledger, found):
-    for record in found:
+def replay(ledger, journal):
+    for record in journal:
         apply(record, ledger)
     return ledger
 
 
 @given(steps, st.integers(0, 31))
-def test_snapshot_and_rest_equal_the_whole(plan, cut):
-    found = make_records(plan)
-    whole = fold(RangeLedger(), found)
-    body = codec.encode(fold(RangeLedger(), found[:cut]))
-    part = codec.decode_ledger(range_unit(0), body)
-    assert fold(part, found[cut:]) == whole
+def test_snapshot_and_remaining_records_equal_full_replay(plan, cut):
+    journal = make_records(plan)
+    expected = replay(RangeLedger(), journal)
+    body = codec.encode(replay(RangeLedger(), journal[:cut]))
+    restored = codec.decode_ledger(range_unit(0), body)
+    assert replay(restored, journal[cut:]) == expected
 
 
 @given(steps)
 def test_every_task_is_counted_once(plan):
-    job = fold(RangeLedger(), make_records(plan)).jobs['job']
+    job = replay(RangeLedger(), make_records(plan)).jobs['job']
     counted = job.done_count + job.failed_count + job.cancelled_count
     fresh = job.spec.task_count - job.fresh_index
     assert counted + fresh + len(job.tasks) <= job.spec.task_count
@@ -66,15 +72,15 @@
 
 
 @given(steps)
-def test_rows_survive_the_codec(plan):
-    found = tuple(
+def test_records_survive_an_encoding_round_trip(plan):
+    journal = tuple(
         records.UnitRecord(range_unit(0), 1, record)
         for record in make_records(plan)
     )
-    assert codec.decode_records(codec.encode_records(found)) == found
+    assert codec.decode_records(codec.encode_records(journal)) == journal
 
 
-def test_not_run_lets_an_id_be_used_again():
+def test_request_that_did_not_run_frees_its_id():
     ledger = RangeLedger()
     apply(records.RequestOpened('r', 'd', 1), ledger)
     apply(records.RequestClosed('r', OutcomeKind.NOT_RUN), ledger)
--- a/tests/tulippin/test_store.py
+++ b/tests/tulippin/test_store.py
@@ -1,4 +1,7 @@
-"""Writes whose answers are lost are resolved before anything builds on."""
+"""Tests of the session store: lost answers, fencing and recovery.
+
+A write whose answer is lost must be resolved before anything builds on it.
+"""
 
 import pytest
 import trio
@@ -26,7 +29,7 @@
 )
 
 UNIT = range_unit(0)
-FATES = ('ok', 'lost call', 'lost answer')
+COMMIT_RESULTS = ('ok', 'lost call', 'lost answer')
 
 
 def make_lease(session_id):
@@ -39,20 +42,20 @@
 
 
 class ScriptedTable(FakeTable):
-    """Loses calls and answers as a script says: apply, lose, or both."""
+    """Loses the call or the answer of each commit, as scripted."""
 
     def __init__(self, script):
         super().__init__()
         self.script = list(script)
-        self.applied = 0
+        self.applied_count = 0
 
     async def commit(self, conditions, writes, client=''):
-        fate = self.script.pop(0) if self.script else 'ok'
-        if fate == 'lost call':
+        result = self.script.pop(0) if self.script else 'ok'
+        if result == 'lost call':
             raise AnswerLostError('lost')
         version = self.apply(conditions, writes)
-        self.applied += bool(version)
-        if fate == 'lost answer':
+        self.applied_count += bool(version)
+        if result == 'lost answer':
             raise AnswerLostError('lost')
         return version
 
@@ -67,13 +70,13 @@
             table, [Condition('key', 0)], [Write('key', 'ours')]
         )
         assert resolved.version == table.rows['key'].version
-        assert table.applied == 1
+        assert table.applied_count == 1
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 @given(st.lists(st.sampled_from(['lost call', 'lost answer']), max_size=4))
-def test_commit_sees_that_another_was_first(script):
+def test_commit_detects_a_conflicting_write(script):
     async def run():
         table = ScriptedTable(script)
         table.apply([], [Write('key', 'theirs')])
@@ -100,7 +103,7 @@
         await old.commit_row(1, [make_record('a')])
         membership = await read_membership(table)
         lease = next(
-            one for one in membership.leases if one.session_id == 'old'
+            row for row in membership.leases if row.session_id == 'old'
         )
         resolved = await new.write_ownership(Ownership({}, 'x'), 0, [lease])
         assert resolved.version
@@ -119,7 +122,7 @@
         new = await open_store(table, objects, 'new')
         membership = await read_membership(table)
         lease = next(
-            one for one in membership.leases if one.session_id == 'old'
+            row for row in membership.leases if row.session_id == 'old'
         )
         await old.renew(make_lease('old'))
         resolved = await new.write_ownership(Ownership({}, 'x'), 0, [lease])
@@ -146,10 +149,10 @@
                 await old.publish(sequence, body, [(UNIT, 1)])
         new = await open_store(table, objects, 'new', ring=4)
         holder = Holder('new', 2, '', (Source('old', 1),))
-        found = await new.load_unit(UNIT, holder)
-        assert set(found.jobs) == {f'job-{number}' for number in range(1, 8)}
-        again = await new.load_unit(UNIT, holder)
-        assert again == found
+        loaded = await new.load_unit(UNIT, holder)
+        assert set(loaded.jobs) == {f'job-{number}' for number in range(1, 8)}
+        reloaded = await new.load_unit(UNIT, holder)
+        assert reloaded == loaded
 
     run_virtual(run)
 
@@ -162,13 +165,13 @@
         await open_store(table, objects, 'second')
         third = await open_store(table, objects, 'third')
         chain = (Source('second', 2), Source('first', 1))
-        found = await third.load_unit(UNIT, Holder('third', 3, '', chain))
-        assert set(found.jobs) == {'a'}
+        loaded = await third.load_unit(UNIT, Holder('third', 3, '', chain))
+        assert set(loaded.jobs) == {'a'}
 
     run_virtual(run)
 
 
-def test_garbage_is_collected_once_nobody_needs_it(run_virtual):
+def test_garbage_is_collected_once_unreferenced(run_virtual):
     async def run():
         table, objects = FakeTable(), FakeObjects()
         old = await open_store(table, objects, 'old')
@@ -176,8 +179,10 @@
         await old.publish(1, b'[]', [])
         await old.close()
         new = await open_store(table, objects, 'new')
-        needed = Ownership({UNIT: Holder('new', 2, '', (Source('old', 1),))})
-        await new.write_ownership(needed, 0, [])
+        referencing = Ownership(
+            {UNIT: Holder('new', 2, '', (Source('old', 1),))}
+        )
+        await new.write_ownership(referencing, 0, [])
         assert await collect_garbage(table, objects) == 0
         version = (await read_membership(table)).ownership_version
         trimmed = Ownership({UNIT: Holder('new', 2)}, 'y')
--- a/tests/tulippin/test_units.py
+++ b/tests/tulippin/test_units.py
@@ -1,4 +1,4 @@
-"""Single decisions about units, sessions and job operations."""
+"""Tests of single decisions on units, sessions and job operations."""
 
 from tulippin import effects as fx
 from tulippin import events as ev
@@ -7,7 +7,7 @@
 from tulippin.types import Holder, JobSpec, LeaseRow, cell_unit, range_unit
 
 CELL = cell_unit('cell-0')
-HOME = range_unit(0)
+HOME_UNIT = range_unit(0)
 
 
 def make_lease(session_id=PEER, version=1, **details):
@@ -22,7 +22,7 @@
     )
 
 
-def test_units_given_while_the_lease_is_in_doubt_are_taken_later():
+def test_units_assigned_without_a_valid_lease_are_loaded_later():
     instance = SingleInstance()
     instance.now_ms += 6000
     instance.feed(ev.Ticked)
@@ -32,7 +32,7 @@
     assert range_unit(7) not in instance.state.ranges
     instance.tick()
     assert range_unit(7) in instance.state.ranges
-    loads = [one.unit for one in instance.take(fx.LoadUnit)]
+    loads = [load.unit for load in instance.take(fx.LoadUnit)]
     assert loads.count(range_unit(7)) == 1
 
 
@@ -41,11 +41,11 @@
     units = {**instance.state.ownership.units, range_unit(7): Holder(PEER, 1)}
     config = instance.state.config
     instance.adopt(units, (make_lease(),))
-    began_ms = instance.now_ms
+    started_ms = instance.now_ms
     while not instance.effects or not instance.take(fx.WriteOwnership):
         instance.tick(100)
         instance.adopt(units, (make_lease(),))
-    waited_ms = instance.now_ms - began_ms
+    waited_ms = instance.now_ms - started_ms
     assert waited_ms > config.lease_ms + config.lease_margin_ms
 
 
@@ -58,7 +58,7 @@
     assert not instance.take(fx.WriteOwnership)
 
 
-def test_takeover_raises_the_epoch_and_revokes_the_watched_lease():
+def test_takeover_raises_the_epoch_and_revokes_the_expired_lease():
     instance = SingleInstance()
     units = {**instance.state.ownership.units, range_unit(7): Holder(PEER, 3)}
     for _ in range(80):
@@ -71,7 +71,7 @@
     assert [lease.version for lease in write.revoke] == [9]
 
 
-def test_surplus_is_handed_over_once_all_is_durable():
+def test_surplus_units_are_handed_over_once_their_records_are_durable():
     instance = SingleInstance()
     units = {range_unit(number): Holder(SESSION, 1) for number in range(4)}
     instance.own(*units)
@@ -81,19 +81,19 @@
     instance.adopt(units, (make_lease(version=2),))
     instance.tick(2100)
     write = instance.take(fx.WriteOwnership)[0]
-    given = [
+    handed_over = [
         holder
         for holder in write.ownership.units.values()
         if holder.session_id == PEER
     ]
-    assert len(given) == 2
-    assert all(holder.epoch == 2 and holder.base for holder in given)
+    assert len(handed_over) == 2
+    assert all(holder.epoch == 2 and holder.base for holder in handed_over)
     assert len(write.bases) == 2
 
 
-def test_refusal_of_an_earlier_try_does_not_end_a_job_operation():
+def test_refusal_of_an_earlier_try_does_not_end_a_job_call():
     instance = SingleInstance()
-    instance.adopt({HOME: Holder(PEER, 2)}, (make_lease(),))
+    instance.adopt({HOME_UNIT: Holder(PEER, 2)}, (make_lease(),))
     spec = JobSpec('job', 'team')
     instance.feed(ev.JobRequested, 5, 'submit', 'job', 'team', spec, 'd')
     instance.tick(1100)
@@ -106,9 +106,9 @@
     assert instance.take(fx.AnswerJob)[0].reply.code == 'store_unavailable'
 
 
-def test_messages_of_a_lower_sequence_are_dropped():
+def test_messages_with_a_lower_sequence_number_are_dropped():
     instance = SingleInstance()
-    instance.adopt({HOME: Holder(PEER, 2)}, (make_lease(),))
+    instance.adopt({HOME_UNIT: Holder(PEER, 2)}, (make_lease(),))
     instance.feed(ev.JobRequested, 5, 'show', 'job')
     instance.feed(ev.PeerReceived, PEER, 'instance-1', 7, ())
     reply = JobReturned(5, JobReply('ok'), 1)
@@ -131,5 +131,5 @@
     instance.feed(ev.JobRequested, 5, 'submit', 'job', 'team', spec, 'one')
     instance.commit_all()
     instance.feed(ev.JobRequested, 6, 'submit', 'job', 'team', spec, 'two')
-    codes = [one.reply.code for one in instance.take(fx.AnswerJob)]
+    codes = [answer.reply.code for answer in instance.take(fx.AnswerJob)]
     assert codes == ['ok', 'job_id_reused']
