--- a/src/tulippin/_bundling.py
+++ b/src/tulippin/_bundling.py
@@ -13,7 +13,7 @@
 from tulippin.messages import BundleSent, BundleWanted
 from tulippin.stats import TrialStats
 
-_ASK_INTERVAL_MS = 1000
+_BUNDLE_REQUEST_INTERVAL_MS = 1000
 
 
 def update_rolled_bundle(
@@ -31,7 +31,8 @@
 def _request_verification(context: Context, number: int, approved: str) -> None:
     """Request verification of a bundle with a higher number.
 
-    Bundles with a lower number, or without an approval, are ignored.
+    Bundles with a lower or the same number are ignored, as are those that
+    are not approved.
     """
     state = context.state
     if not approved:
@@ -51,9 +52,11 @@
     Only the live session with the lowest id does so.
     """
     state = context.state
-    own = state.session.session_id
+    own_id = state.session.session_id
     peers = state.peers.values()
-    if not context.may_act or any(name < own for name in state.peers):
+    if not context.may_act or any(
+        session_id < own_id for session_id in state.peers
+    ):
         return
     if all(peer.lease.bundle_number >= number for peer in peers):
         context.emit(fx.MarkInForce(number))
@@ -81,26 +84,32 @@
 
 
 def tick(context: Context) -> None:
-    """Request a newer bundle from the peer with the highest number."""
+    """Request a newer bundle from the peer with the highest number.
+
+    An instance without a session that can't reach the table asks one of
+    the seed peers instead.
+    """
     state = context.state
-    if context.now_ms < state.next_bundle_ask_ms:
+    if context.now_ms < state.next_bundle_request_ms:
         return
     if not state.session.session_id and not state.session.store_reachable:
-        _ask_seed(context)
+        _fetch_from_seed(context)
         return
-    ahead = [
+    newer = [
         (peer.bundle_number, session_id)
         for session_id, peer in state.peers.items()
         if peer.bundle_number > state.bundle_number
     ]
-    if ahead:
-        state.next_bundle_ask_ms = context.now_ms + _ASK_INTERVAL_MS
-        _, session_id = max(ahead)
+    if newer:
+        state.next_bundle_request_ms = (
+            context.now_ms + _BUNDLE_REQUEST_INTERVAL_MS
+        )
+        _, session_id = max(newer)
         context.send(session_id, BundleWanted(state.bundle_number))
 
 
-def _ask_seed(context: Context) -> None:
-    """Fetch the bundle from a random seed peer while the table is down."""
+def _fetch_from_seed(context: Context) -> None:
+    """Fetch the bundle from a random seed peer of the settings."""
     state = context.state
     seeds = [
         seed
@@ -108,7 +117,9 @@
         if seed != state.config.peer_address
     ]
     if seeds:
-        state.next_bundle_ask_ms = context.now_ms + _ASK_INTERVAL_MS
+        state.next_bundle_request_ms = (
+            context.now_ms + _BUNDLE_REQUEST_INTERVAL_MS
+        )
         context.emit(fx.FetchBundle(state.random.choice(seeds)))
 
 
--- a/src/tulippin/_context.py
+++ b/src/tulippin/_context.py
@@ -92,7 +92,7 @@
         """Append a record of an owned unit to the journal's pending ones."""
         journal = self.state.journal
         journal.pending.append(UnitRecord(unit.unit, unit.epoch, record))
-        journal.unit_counts[unit.unit] += 1
+        journal.uncommitted_counts[unit.unit] += 1
 
     def is_usable(self, unit: UnitState | None) -> bool:
         """Return whether a unit is owned, loaded and not being handed over."""
--- a/src/tulippin/_dropping.py
+++ b/src/tulippin/_dropping.py
@@ -22,6 +22,6 @@
     journal.pending = [
         entry for entry in journal.pending if entry.unit != unit.unit
     ]
-    journal.unit_counts[unit.unit] = sum(
+    journal.uncommitted_counts[unit.unit] = sum(
         entry.unit == unit.unit for entry in journal.in_flight
     )
--- a/src/tulippin/_homes.py
+++ b/src/tulippin/_homes.py
@@ -211,8 +211,8 @@
     if not usage.has_quota(job.spec):
         return -1
     if job.spec.kind is JobKind.SERVICE:
-        spread = _select_least_used(home, job, views)
-        cell = pick_cell(context, job.spec, spread) if spread else None
+        candidates = _select_least_used(home, job, views)
+        cell = pick_cell(context, job.spec, candidates) if candidates else None
     else:
         cell = pick_cell(context, job.spec, views)
         if cell is None:
--- a/src/tulippin/_journal.py
+++ b/src/tulippin/_journal.py
@@ -109,7 +109,7 @@
     journal.sequence = event.sequence
     journal.in_flight = ()
     for entry in batch:
-        journal.unit_counts[entry.unit] -= 1
+        journal.uncommitted_counts[entry.unit] -= 1
         unit = state.get_unit(entry.unit)
         if unit is None or unit.epoch != entry.epoch:
             continue
--- a/src/tulippin/_spreading.py
+++ b/src/tulippin/_spreading.py
@@ -15,10 +15,11 @@
 _SAME_REGION_COST: t.Final = 3
 _OTHER_REGION_COST: t.Final = 1000
 
-Counts = dict[str, list[int]]
+# Number of ranges and number of cells, by session id.
+UnitCounts = dict[str, list[int]]
 
 
-def count_units(context: Context) -> Counts:
+def count_units(context: Context) -> UnitCounts:
     """Return each live session's number of ranges and number of cells.
 
     Sessions that are stopping are left out: they get no more units.
@@ -50,7 +51,7 @@
 def get_distance(context: Context, session_id: str, unit: str) -> int:
     """Return the cost of the distance between a session and a unit.
 
-    A cost of 3 weighs as much as 3 more owned units.
+    A cost of 1 weighs as much as one more owned unit.
     """
     location = context.state.cell_locations.get(unit)
     if location is None:
@@ -65,7 +66,7 @@
     return 0 if owner_location[0] == location[0] else _SAME_REGION_COST
 
 
-def pick_owner(context: Context, counts: Counts, unit: str) -> str:
+def pick_owner(context: Context, counts: UnitCounts, unit: str) -> str:
     """Return the session that would own the unit at the lowest cost."""
     kind = is_cell(unit)
     return min(
@@ -86,13 +87,13 @@
     """
     state = context.state
     counts = count_units(context)
-    own = state.session.session_id
+    own_id = state.session.session_id
     units = [unit.unit for unit in state.iter_units()]
     if not counts or state.session.stopping_since_ms is not None:
         return units if counts else []
     surplus = []
     ordered = sorted(
-        (_get_transfer_order(context, own, unit), unit) for unit in units
+        (_get_transfer_order(context, own_id, unit), unit) for unit in units
     )
     for _, unit in ordered:
         kind = is_cell(unit)
@@ -100,14 +101,14 @@
         target_cost = (
             counts[target][kind] + get_distance(context, target, unit) + 1
         )
-        own_cost = counts[own][kind] + get_distance(context, own, unit)
-        if target != own and own_cost > target_cost:
+        own_cost = counts[own_id][kind] + get_distance(context, own_id, unit)
+        if target != own_id and own_cost > target_cost:
             surplus.append(unit)
-            counts[own][kind] -= 1
+            counts[own_id][kind] -= 1
             counts[target][kind] += 1
     return surplus
 
 
-def _get_transfer_order(context: Context, own: str, unit: str) -> int:
+def _get_transfer_order(context: Context, own_id: str, unit: str) -> int:
     """Return a sort key by which the most distant units move first."""
-    return -get_distance(context, own, unit)
+    return -get_distance(context, own_id, unit)
--- a/src/tulippin/_units.py
+++ b/src/tulippin/_units.py
@@ -49,11 +49,11 @@
         return
     state.ownership = ownership
     state.ownership_version = version
-    own = state.session.session_id
+    own_id = state.session.session_id
     for unit in list(state.iter_units()):
         holder = ownership.units.get(unit.unit)
         is_still_owned = holder is not None and (
-            (holder.session_id, holder.epoch) == (own, unit.epoch)
+            (holder.session_id, holder.epoch) == (own_id, unit.epoch)
         )
         if not is_still_owned and state.config.seams.fencing:
             drop_unit(context, unit)
@@ -70,9 +70,9 @@
     if not context.may_act or state.session.acquired_version == version:
         return
     state.session.acquired_version = version
-    own = state.session.session_id
+    own_id = state.session.session_id
     for name, holder in state.ownership.units.items():
-        if holder.session_id == own and state.get_unit(name) is None:
+        if holder.session_id == own_id and state.get_unit(name) is None:
             _acquire_unit(context, name, holder)
 
 
@@ -109,7 +109,7 @@
         snapshot_sequence=0,
         snapshot_running=False,
     )
-    state.journal.unit_counts.clear()
+    state.journal.uncommitted_counts.clear()
     state.session.writing_ownership = False
     # The next session owns no units, so it must adopt the row again.
     state.ownership_version = 0
@@ -139,8 +139,8 @@
     The first one creates units. Takeovers are delayed by rank, so that
     the sessions don't all write the ownership row at the same time.
     """
-    own = context.state.session.session_id
-    return sum(session_id < own for session_id in context.state.peers)
+    own_id = context.state.session.session_id
+    return sum(session_id < own_id for session_id in context.state.peers)
 
 
 def _create_units(context: Context) -> None:
@@ -172,7 +172,7 @@
     context.emit(
         fx.WriteOwnership(
             state.session.session_id,
-            Ownership(_trim_chains(context, units)),
+            Ownership(_remove_published_sources(context, units)),
             state.ownership_version,
             revoke,
             bases,
@@ -180,21 +180,21 @@
     )
 
 
-def _trim_chains(
+def _remove_published_sources(
     context: Context, units: dict[str, Holder]
 ) -> dict[str, Holder]:
     """Remove the sources of own units whose state is published already."""
-    trimmed = dict(units)
+    updated = dict(units)
     for unit in context.state.iter_units():
-        holder = trimmed.get(unit.unit)
+        holder = updated.get(unit.unit)
         if (
             holder is not None
             and unit.phase is not Phase.LOADING
             and holder.epoch == unit.epoch
             and holder.previous
         ):
-            trimmed[unit.unit] = attrs.evolve(holder, previous=())
-    return trimmed
+            updated[unit.unit] = attrs.evolve(holder, previous=())
+    return updated
 
 
 def plan_takeover(context: Context) -> None:
@@ -243,7 +243,7 @@
     context: Context, expired: t.Collection[str]
 ) -> list[str]:
     state = context.state
-    own = state.session.session_id
+    own_id = state.session.session_id
     is_first = _get_session_rank(context) == 0
     return sorted(
         name
@@ -252,7 +252,7 @@
         or (
             is_first
             and holder.session_id not in state.peers
-            and holder.session_id != own
+            and holder.session_id != own_id
         )
     )
 
@@ -351,7 +351,7 @@
 
     The open requests of a range count until the end of the hand-over wait.
     """
-    if context.state.journal.unit_counts[unit.unit]:
+    if context.state.journal.uncommitted_counts[unit.unit]:
         return False
     waited_ms = context.now_ms - unit.owned_since_ms
     if waited_ms >= context.state.config.hand_over_wait_ms:
--- a/src/tulippin/state.py
+++ b/src/tulippin/state.py
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Seams:
-    """Safeguards that tests switch off, to check that the checker objects.
+    """Safeguards that only tests switch off, to test the history checker.
 
     Parameters
     ----------
@@ -184,7 +184,11 @@
 
 @attrs.define
 class JournalState:
-    """Uncommitted records, and the position in the journal ring."""
+    """Uncommitted records, and the position in the journal ring.
+
+    ``uncommitted_counts`` holds the number of pending and in-flight
+    records of each unit.
+    """
 
     pending: list[UnitRecord] = attrs.field(factory=list)
     in_flight: tuple[UnitRecord, ...] = ()
@@ -193,7 +197,7 @@
     snapshot_running: bool = False
     next_commit_ms: int = 0
     next_snapshot_ms: int = 0
-    unit_counts: collections.Counter[str] = attrs.field(
+    uncommitted_counts: collections.Counter[str] = attrs.field(
         factory=collections.Counter
     )
 
@@ -313,7 +317,13 @@
 
 @attrs.define
 class RangeState:
-    """A hash range that this instance owns."""
+    """A hash range that this instance owns.
+
+    ``fresh_indexes`` holds the index of the first task that was never
+    assigned, by job. ``assigning`` and ``returning`` hold the tasks with
+    an assignment or a return that is not committed yet. ``spread`` counts
+    the tasks of each service job by cell.
+    """
 
     unit: str
     epoch: int
@@ -445,7 +455,7 @@
     bundle_approved: str = ''
     bundle_state: str = ''
     verifying_number: int = 0
-    next_bundle_ask_ms: int = 0
+    next_bundle_request_ms: int = 0
     tickets: dict[int, Ticket] = attrs.field(factory=dict)
     next_ticket: int = 1
     job_calls: dict[int, JobCall] = attrs.field(factory=dict)
