--- a/src/tulippin/_cells.py
+++ b/src/tulippin/_cells.py
@@ -1,4 +1,8 @@
-"""Cells: placing attempts on workers and keeping them there."""
+"""Owned cells: offers, placement, cancellation and outcomes of attempts.
+
+The messages come from the home ranges of the attempts' jobs; ``_workers``
+sends the placed attempts to the workers.
+"""
 
 from __future__ import annotations
 
@@ -30,11 +34,11 @@
     WorkerInfo,
 )
 
-_WAIT_FOR_ROOM_MS = 6000
+_MAX_EVICTION_WAIT_MS = 6000
 
 
 def activate(context: Context, cell: CellState) -> None:
-    """Build what is not durable after a cell's state is loaded."""
+    """Rebuild a cell's in-memory state from its loaded ledger."""
     update_workers(context, cell)
     for task_id, entry in cell.ledger.attempts.items():
         if entry.outcome is None:
@@ -45,7 +49,11 @@
 
 
 def update_workers(context: Context, cell: CellState) -> None:
-    """Bring a cell's workers in line with the platform's list."""
+    """Update a cell's workers from the platform's list.
+
+    A worker that is no longer listed is marked absent, and removed once
+    it has neither attempts nor requests.
+    """
     name = cell.unit.partition('/')[2]
     listed = context.state.workers
     for info in listed.values():
@@ -71,14 +79,14 @@
         info = context.state.workers.get(worker_id) or WorkerInfo(
             worker_id, '', '', '', Resources()
         )
-        lapse_ms = _worker_state.get_first_lapse_ms(context, cell)
+        lapse_ms = _worker_state.get_initial_lapse_ms(context, cell)
         worker = WorkerState(info, lapse_ms=lapse_ms, absent=not info.address)
         cell.workers[worker_id] = worker
     return worker
 
 
 def make_summaries(context: Context) -> tuple[CellSummary, ...]:
-    """Return what each own cell could still take."""
+    """Return the summaries of all active cells of this instance."""
     return tuple(
         summarize(context, cell)
         for cell in context.state.cells.values()
@@ -87,7 +95,7 @@
 
 
 def summarize(context: Context, cell: CellState) -> CellSummary:
-    """Return what a cell could still take."""
+    """Return a cell's free capacity, free service slots and batch harm."""
     free = largest = evictable = Resources()
     services: dict[str, int] = {}
     usable = [
@@ -115,14 +123,19 @@
 
 
 def tick(context: Context) -> None:
-    """Sync workers, find lost ones, and repeat what got no word."""
+    """Run the periodic work of the owned cells.
+
+    Workers are synced and lost ones detected, unacknowledged outcomes are
+    sent again, waiting offers are placed or expire, and workers under
+    pressure are relieved.
+    """
     for cell in context.state.cells.values():
         if cell.phase is Phase.LOADING:
             continue
         _workers.tick_cell(context, cell)
         if context.may_act and cell.phase is Phase.ACTIVE:
             _repeat_reports(context, cell)
-            _expire_waiting(context, cell)
+            _process_waiting(context, cell)
             _pressure.tick_cell(context, cell)
 
 
@@ -134,13 +147,15 @@
         if entry is None or entry.outcome is None:
             del cell.report_due[task_id]
             continue
-        _report(context, cell, entry.task, entry.outcome, entry.checkpoint)
+        _report_outcome(
+            context, cell, entry.task, entry.outcome, entry.checkpoint
+        )
         cell.report_due[task_id] = (
             context.now_ms + context.state.config.resend_every_ms
         )
 
 
-def _report(
+def _report_outcome(
     context: Context,
     cell: CellState,
     task: TaskRef,
@@ -152,10 +167,10 @@
     )
 
 
-def _refuse(context: Context, cell: CellState, task: TaskRef) -> None:
-    """Refuse an attempt for good: the same offer stays refused."""
+def _refuse_attempt(context: Context, cell: CellState, task: TaskRef) -> None:
+    """Refuse an attempt; further offers of it are refused too."""
     cell.refused[task.task_id] = task
-    _report(context, cell, task, TaskOutcome.REFUSED)
+    _report_outcome(context, cell, task, TaskOutcome.REFUSED)
 
 
 @receive.register
@@ -163,35 +178,43 @@
     cell = context.state.cells.get(message.cell)
     if cell is None or not context.is_usable(cell) or not context.may_act:
         return
-    if not _accept_home(cell, message.task.home, message.home_epoch):
+    if not _check_home_epoch(cell, message.task.home, message.home_epoch):
         return
-    if _answer_known(context, cell, message.task):
+    if _answer_known_attempt(context, cell, message.task):
         return
     if message.cell_epoch != cell.epoch:
         if message.cell_epoch < cell.epoch:
-            _report(context, cell, message.task, TaskOutcome.REFUSED)
+            _report_outcome(context, cell, message.task, TaskOutcome.REFUSED)
         return
     if not context.store_ready:
         return
-    _place(context, cell, message)
+    _place_attempt(context, cell, message)
+
 
+def _check_home_epoch(cell: CellState, home: str, home_epoch: int) -> bool:
+    """Return whether a home's epoch is current, and remember it.
 
-def _accept_home(cell: CellState, home: str, home_epoch: int) -> bool:
-    """Refuse a home's epoch that is lower than the highest seen."""
+    An epoch below the highest one seen from that home is stale.
+    """
     if home_epoch < cell.home_epochs.get(home, 0):
         return False
     cell.home_epochs[home] = home_epoch
     return True
 
 
-def _answer_known(context: Context, cell: CellState, task: TaskRef) -> bool:
-    """Answer for an attempt that the cell knows of; false if it does not."""
+def _answer_known_attempt(
+    context: Context, cell: CellState, task: TaskRef
+) -> bool:
+    """Answer for an attempt that the cell already knows.
+
+    Returns whether it is known, so that no further handling is needed.
+    """
     task_id = task.task_id
     if task_id in cell.placing or task_id in cell.waiting:
         return True
     refused = cell.refused.get(task_id)
     if refused is not None and refused.attempt >= task.attempt:
-        _report(context, cell, task, TaskOutcome.REFUSED)
+        _report_outcome(context, cell, task, TaskOutcome.REFUSED)
         return True
     entry = cell.ledger.attempts.get(task_id)
     if entry is None or entry.task.attempt < task.attempt:
@@ -201,19 +224,25 @@
     if entry.outcome is None:
         context.send_owner(task.home, TaskHeld(cell.unit, cell.epoch, task))
     else:
-        _report(context, cell, task, entry.outcome, entry.checkpoint)
+        _report_outcome(context, cell, task, entry.outcome, entry.checkpoint)
     return True
 
 
-def _place(context: Context, cell: CellState, offer: TaskOffered) -> bool:
-    """Give an offered attempt to a worker, if one may take it."""
+def _place_attempt(
+    context: Context, cell: CellState, offer: TaskOffered
+) -> bool:
+    """Place an offered attempt on a worker and record the placement.
+
+    Without a fitting worker the offer waits or is refused. Returns
+    whether the attempt was placed.
+    """
     task = offer.task
     old = cell.ledger.attempts.get(task.task_id)
     if old is not None and old.outcome is None:
         return False
     choice = choose_worker(context, cell, offer.spec)
     if choice is None:
-        return _wait_for_room(context, cell, offer)
+        return _evict_or_refuse(context, cell, offer)
     worker, reserved, policy = choice
     cell.refused.pop(task.task_id, None)
     cell.placing[task.task_id] = task
@@ -233,32 +262,32 @@
     return True
 
 
-def _wait_for_room(
+def _evict_or_refuse(
     context: Context, cell: CellState, offer: TaskOffered
 ) -> bool:
-    """Make room for urgent work by eviction; refuse other work."""
+    """Evict batch attempts for an urgent offer; refuse any other offer."""
     task_id = offer.task.task_id
     if offer.spec.priority < URGENT_PRIORITY:
-        _refuse(context, cell, offer.task)
+        _refuse_attempt(context, cell, offer.task)
         return False
     if task_id in cell.waiting:
         return False
     victims = choose_victims(context, cell, offer.spec)
     if victims is None:
-        _refuse(context, cell, offer.task)
+        _refuse_attempt(context, cell, offer.task)
         return False
     worker, evicted = victims
     for victim in evicted:
         _worker_state.evict(context, cell, worker, victim)
     cell.waiting[task_id] = (
-        context.now_ms + _WAIT_FOR_ROOM_MS,
+        context.now_ms + _MAX_EVICTION_WAIT_MS,
         offer,
     )
     return False
 
 
-def _retry_waiting(context: Context, cell: CellState) -> None:
-    """Place urgent attempts that waited for room, highest first."""
+def _place_waiting(context: Context, cell: CellState) -> None:
+    """Place waiting urgent attempts that fit now, by descending priority."""
     if not cell.waiting or cell.phase is not Phase.ACTIVE:
         return
     waiting = sorted(
@@ -268,15 +297,15 @@
         if choose_worker(context, cell, offer.spec) is None:
             continue
         del cell.waiting[task_id]
-        _place(context, cell, offer)
+        _place_attempt(context, cell, offer)
 
 
-def _expire_waiting(context: Context, cell: CellState) -> None:
-    _retry_waiting(context, cell)
+def _process_waiting(context: Context, cell: CellState) -> None:
+    _place_waiting(context, cell)
     for task_id, (until_ms, offer) in list(cell.waiting.items()):
         if context.now_ms >= until_ms:
             del cell.waiting[task_id]
-            _refuse(context, cell, offer.task)
+            _refuse_attempt(context, cell, offer.task)
 
 
 @receive.register
@@ -284,11 +313,12 @@
     cell = context.state.cells.get(message.cell)
     if cell is None or not context.is_usable(cell) or not context.may_act:
         return
-    if not _accept_home(cell, message.task.home, message.home_epoch):
+    if not _check_home_epoch(cell, message.task.home, message.home_epoch):
         return
-    if not _answer_known(context, cell, message.task):
-        # An older epoch's journal is closed and does not hold it.
-        _report(context, cell, message.task, TaskOutcome.REFUSED)
+    if not _answer_known_attempt(context, cell, message.task):
+        # The journal of the older epoch is closed and lacks the attempt,
+        # so it was never placed.
+        _report_outcome(context, cell, message.task, TaskOutcome.REFUSED)
 
 
 @receive.register
@@ -313,23 +343,23 @@
     cell = context.state.cells.get(message.cell)
     if cell is None or not context.is_usable(cell) or not context.may_act:
         return
-    if not _accept_home(cell, message.home, message.home_epoch):
+    if not _check_home_epoch(cell, message.home, message.home_epoch):
         return
     for task in message.tasks:
-        _cancel(context, cell, task)
+        _cancel_attempt(context, cell, task)
 
 
-def _cancel(context: Context, cell: CellState, task: TaskRef) -> None:
+def _cancel_attempt(context: Context, cell: CellState, task: TaskRef) -> None:
     task_id = task.task_id
     waiting = cell.waiting.pop(task_id, None)
     if waiting is not None:
-        _refuse(context, cell, task)
+        _refuse_attempt(context, cell, task)
         return
     entry = cell.ledger.attempts.get(task_id)
     if entry is None or entry.task.attempt != task.attempt:
-        if not _answer_known(context, cell, task):
-            # Its offer was lost, or comes later: it is refused for good.
-            _refuse(context, cell, task)
+        if not _answer_known_attempt(context, cell, task):
+            # The offer was lost or is delayed: refuse it if it still arrives.
+            _refuse_attempt(context, cell, task)
         return
     if entry.outcome is not None:
         return
@@ -371,6 +401,6 @@
         context.now_ms + context.state.config.resend_every_ms
     )
     context.state.counters[f'attempts_{record.outcome.value}'] += 1
-    _pressure.count_end(context, unit, entry, record.outcome)
-    _report(context, unit, entry.task, entry.outcome, entry.checkpoint)
-    _retry_waiting(context, unit)
+    _pressure.count_ended_attempt(context, unit, entry, record.outcome)
+    _report_outcome(context, unit, entry.task, entry.outcome, entry.checkpoint)
+    _place_waiting(context, unit)
--- a/src/tulippin/_observing.py
+++ b/src/tulippin/_observing.py
@@ -1,4 +1,4 @@
-"""Counting service requests: for the trial, the metrics and pressure."""
+"""Statistics of service requests for trials, metrics and pressure."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
     ticket: Ticket,
     event: EndpointReplied,
 ) -> None:
-    """Count one request that an endpoint has ended."""
+    """Record the latency and the outcome of a request that was replied to.
+
+    Requests within a window's wash-out do not count for the trial.
+    """
     state = context.state
     name = cell.unit.partition('/')[2]
     policy, _, window = get_policy(
@@ -30,7 +33,7 @@
     queued_ms = ticket.sent_ms - ticket.started_ms
     latency_ms = queued_ms + event.elapsed_ms
     service = ticket.request.service
-    _pressure.note_latency(context, worker, service, latency_ms)
+    _pressure.update_pressure(context, worker, service, latency_ms)
     context.emit(
         fx.ObserveLatency(
             service,
@@ -46,7 +49,7 @@
     target_ms = state.bundle.get_target_ms(service) if state.bundle else 0
     over_ms = max(0.0, latency_ms - target_ms) if target_ms else 0.0
     stats = state.stats.get_policy(policy)
-    _count(stats, event.outcome, latency_ms, over_ms)
+    _count_request(stats, event.outcome, latency_ms, over_ms)
     counts = state.stats.get_window(name, window.index, policy)
     counts.request_count += 1
     counts.over_target_count += bool(over_ms)
@@ -55,7 +58,7 @@
         _check_guard_rail(context, state.bundle, policy, stats)
 
 
-def _count(
+def _count_request(
     stats: PolicyStats,
     outcome: RequestOutcome,
     latency_ms: float,
@@ -71,23 +74,28 @@
 def _check_guard_rail(
     context: Context, bundle: Bundle, policy: str, stats: PolicyStats
 ) -> None:
-    """Stop a policy whose share over target is far above the best's."""
+    """Stop a policy whose share of requests over target is too high.
+
+    The limit is ``guard_rail_ratio`` times the share of the best other
+    policy. Policies with too few requests are not compared, and the last
+    running policy is never stopped.
+    """
     trial = bundle.trial
     stopped = context.state.stats.stopped
-    least = trial.guard_rail_min_requests
-    if policy in stopped or stats.request_count < least:
+    min_requests = trial.guard_rail_min_requests
+    if policy in stopped or stats.request_count < min_requests:
         return
     shares = [
         other.over_target_count / other.request_count
         for name, other in context.state.stats.policies.items()
         if name != policy
         and name in trial.policies
-        and other.request_count >= least
+        and other.request_count >= min_requests
     ]
     if not shares or len(stopped) + 1 >= len(trial.policies):
         return
-    floor = 1 / least
+    min_share = 1 / min_requests
     share = stats.over_target_count / stats.request_count
-    if share > trial.guard_rail_ratio * max(min(shares), floor):
+    if share > trial.guard_rail_ratio * max(min(shares), min_share):
         stopped.add(policy)
         context.state.counters['guard_rails'] += 1
--- a/src/tulippin/_pressure.py
+++ b/src/tulippin/_pressure.py
@@ -1,7 +1,8 @@
-"""Interference on a worker: learn it, then throttle, then evict.
+"""Interference on workers: learned slowdowns, throttling and eviction.
 
-Fast signals are the latencies that this instance sees itself; slow ones
-are the workers' lagging reports, credited to what ran when measured.
+The latencies that this instance observes are the fast signal. The workers'
+reports lag, so their samples are credited to the attempts that ran at the
+time of the measurement.
 """
 
 from __future__ import annotations
@@ -20,22 +21,25 @@
 from tulippin.types import URGENT_PRIORITY, JobKind, TaskOutcome
 from tulippin.worker_types import WorkerReport
 
-_SMOOTHING = 0.1
-_SHARED_LIMIT = 500
-_RELIEF_WAIT_MS = 5000
-_EVICT_WAIT_MS = 10000
-_RELEASE_RATIO = 0.8
+_PRESSURE_SMOOTHING_FACTOR = 0.1
+_MAX_SHARED_WEIGHTS = 500
+_THROTTLE_COOLDOWN_MS = 5000
+_EVICTION_COOLDOWN_MS = 10000
+_UNTHROTTLE_FRACTION = 0.8
 
 
-def learn(
+def learn_from_report(
     context: Context,
     cell: CellState,
     worker: WorkerState,
     report: WorkerReport,
 ) -> None:
-    """Learn sizes and slowdowns from one report, and what ran then."""
+    """Update the size and interference models from a worker's report.
+
+    Also records the unsaved progress and the batch classes now running.
+    """
     measured_ms = context.now_ms - report.usage_age_ms
-    batch = _get_residents(worker, measured_ms)
+    batch = _get_batch_counts_at(worker, measured_ms)
     for sample in report.usage:
         entry = cell.ledger.attempts.get(sample.task_id)
         if entry is None or entry.task.attempt != sample.attempt:
@@ -57,10 +61,10 @@
 def summarize_harm(
     context: Context, workers: list[WorkerState]
 ) -> dict[str, float]:
-    """Return the least harm that a task of each class would do here.
+    """Return, by batch class, the least harm of one more task on a worker.
 
-    Only under a bundle with one policy: while several are on trial, a
-    home's choice among cells must not favour one of them.
+    Empty unless the bundle has exactly one policy: while several are on
+    trial, a home's choice among cells must not favour one of them.
     """
     bundle = context.state.bundle
     if bundle is None or len(bundle.policies) > 1 or not workers:
@@ -68,7 +72,7 @@
     policy = next(iter(bundle.policies.values()))
     if not isinstance(policy, InterferencePolicy):
         return {}
-    found = {}
+    harm_by_class = {}
     for name in context.state.model.iter_classes():
         size = context.state.sizes.get_size(name)
         harms = [
@@ -77,8 +81,8 @@
             if worker.free.fits(size)
         ]
         if harms:
-            found[name] = round(min(harms), 3)
-    return found
+            harm_by_class[name] = round(min(harms), 3)
+    return harm_by_class
 
 
 def _get_class_harm(
@@ -91,10 +95,10 @@
 
 
 def share_model(context: Context) -> None:
-    """Tell the peers the weights with the most samples."""
+    """Send the peers the learned weights with the most samples."""
     entries = sorted(
         context.state.model.iter_learned(), key=lambda entry: -entry[2]
-    )[:_SHARED_LIMIT]
+    )[:_MAX_SHARED_WEIGHTS]
     if not entries:
         return
     rounded = tuple(
@@ -108,32 +112,37 @@
 @receive.register
 def _(message: ModelShared, sender: str, context: Context) -> None:
     state = context.state
-    odd_count = state.model.take_shared(sender, message.entries)
-    if odd_count:
-        state.counters['weights_refused'] += odd_count
+    invalid_count = state.model.take_shared(sender, message.entries)
+    if invalid_count:
+        state.counters['weights_refused'] += invalid_count
 
 
-def _get_residents(worker: WorkerState, at_ms: int) -> dict[str, int]:
-    """Return the batch classes that ran on a worker at a past time."""
+def _get_batch_counts_at(worker: WorkerState, at_ms: int) -> dict[str, int]:
+    """Return the counts of batch classes on a worker at a past time."""
     for since_ms, batch in reversed(worker.residents):
         if since_ms <= at_ms:
             return batch
     return {}
 
 
-def note_latency(
+def update_pressure(
     context: Context, worker: WorkerState, service: str, latency_ms: float
 ) -> None:
-    """Take one request's latency into the worker's pressure."""
+    """Update a worker's pressure with the latency of one request.
+
+    Pressure is the smoothed ratio of latency to target.
+    """
     bundle = context.state.bundle
     target_ms = bundle.get_target_ms(service) if bundle else 0.0
     if target_ms:
         ratio = min(latency_ms / target_ms, 10.0)
-        worker.pressure += _SMOOTHING * (ratio - worker.pressure)
+        worker.pressure += _PRESSURE_SMOOTHING_FACTOR * (
+            ratio - worker.pressure
+        )
 
 
 def tick_cell(context: Context, cell: CellState) -> None:
-    """Throttle, evict or release batch work, by the cell's policy."""
+    """Throttle, evict or unthrottle batch work, by the cell's policy."""
     state = context.state
     name = cell.unit.partition('/')[2]
     _, policy, _ = get_policy(
@@ -142,23 +151,28 @@
     if not isinstance(policy, InterferencePolicy):
         return
     for worker in cell.workers.values():
-        _relieve(context, cell, worker, policy)
+        _relieve_worker(context, cell, worker, policy)
 
 
-def _relieve(
+def _relieve_worker(
     context: Context,
     cell: CellState,
     worker: WorkerState,
     policy: InterferencePolicy,
 ) -> None:
-    """Act on one worker; waits keep waves from causing a storm."""
+    """Relieve one worker by at most one step.
+
+    Batch attempts are throttled first; if the pressure stays high, the
+    most harmful one is evicted. The cooldown after each step prevents a
+    burst of evictions before the previous step takes effect.
+    """
     if context.now_ms < worker.relief_after_ms:
         return
-    if worker.pressure < policy.throttle_ratio * _RELEASE_RATIO:
+    if worker.pressure < policy.throttle_ratio * _UNTHROTTLE_FRACTION:
         if worker.throttled:
             worker.throttled.clear()
             worker.hurry = True
-            worker.relief_after_ms = context.now_ms + _RELIEF_WAIT_MS
+            worker.relief_after_ms = context.now_ms + _THROTTLE_COOLDOWN_MS
         return
     if worker.pressure < policy.throttle_ratio:
         return
@@ -169,17 +183,19 @@
     if unthrottled:
         worker.throttled |= unthrottled
         worker.hurry = True
-        worker.relief_after_ms = context.now_ms + _RELIEF_WAIT_MS
+        worker.relief_after_ms = context.now_ms + _THROTTLE_COOLDOWN_MS
     elif worker.pressure >= policy.evict_ratio:
-        harmful = max(
+        victim = max(
             victims,
-            key=lambda task_id: _get_harm(context, cell, worker, task_id),
+            key=lambda task_id: _get_eviction_key(
+                context, cell, worker, task_id
+            ),
         )
-        _worker_state.evict(context, cell, worker, harmful)
-        worker.relief_after_ms = context.now_ms + _EVICT_WAIT_MS
+        _worker_state.evict(context, cell, worker, victim)
+        worker.relief_after_ms = context.now_ms + _EVICTION_COOLDOWN_MS
 
 
-def _get_harm(
+def _get_eviction_key(
     context: Context, cell: CellState, worker: WorkerState, task_id: str
 ) -> tuple[float, int]:
     entry = cell.ledger.attempts[task_id]
@@ -187,13 +203,13 @@
     return harm, -worker.unsaved_ms.get(task_id, 0)
 
 
-def count_end(
+def count_ended_attempt(
     context: Context,
     cell: CellState,
     entry: AttemptEntry,
     outcome: TaskOutcome,
 ) -> None:
-    """Count an attempt's end for the trial, and judge its worker."""
+    """Count an ended attempt for the trial and its worker's quarantine."""
     state = context.state
     stats = state.stats.get_policy(entry.policy)
     name = cell.unit.partition('/')[2]
@@ -212,24 +228,25 @@
         counts.evicted_count += 1
     worker = cell.workers.get(entry.worker_id)
     if worker is not None:
-        judge_worker(context, worker, entry, outcome)
+        update_quarantine(context, worker, entry, outcome)
 
 
-_QUARANTINE_JOBS = 3
-_QUARANTINE_MS = 30000
-_QUARANTINE_LIMIT = 6
+_FAILED_JOBS_TO_QUARANTINE = 3
+_BASE_QUARANTINE_MS = 30000
+_MAX_QUARANTINE_DOUBLINGS = 6
 
 
-def judge_worker(
+def update_quarantine(
     context: Context,
     worker: WorkerState,
     entry: AttemptEntry,
     outcome: TaskOutcome,
 ) -> None:
-    """Quarantine a worker that fails tasks of several jobs in a row.
+    """Quarantine a worker on which several jobs failed in a row.
 
-    One poison job fails everywhere and quarantines nobody, because its
-    failures count once for each worker.
+    Repeated failures of one job count once for each worker, so that a job
+    that fails everywhere quarantines no worker. After a quarantine, one
+    failure starts the next one, for twice the time, until a task is done.
     """
     if outcome is TaskOutcome.DONE:
         worker.failed_jobs.clear()
@@ -240,10 +257,12 @@
     failed = collections.Counter(worker.failed_jobs)
     failed[entry.spec.job_id] += 1
     worker.failed_jobs = dict(failed)
-    needed = 1 if worker.quarantine_count else _QUARANTINE_JOBS
+    needed = 1 if worker.quarantine_count else _FAILED_JOBS_TO_QUARANTINE
     if len(worker.failed_jobs) >= needed:
         worker.failed_jobs.clear()
-        power = min(worker.quarantine_count, _QUARANTINE_LIMIT)
-        worker.quarantined_until_ms = context.now_ms + _QUARANTINE_MS * 2**power
+        doublings = min(worker.quarantine_count, _MAX_QUARANTINE_DOUBLINGS)
+        worker.quarantined_until_ms = (
+            context.now_ms + _BASE_QUARANTINE_MS * 2**doublings
+        )
         worker.quarantine_count += 1
         context.state.counters['workers_quarantined'] += 1
--- a/src/tulippin/_proofs.py
+++ b/src/tulippin/_proofs.py
@@ -1,4 +1,4 @@
-"""What an answer proves of a request, and whether it may be tried again."""
+"""Outcomes of requests: what an answer proves, and whether to retry."""
 
 from __future__ import annotations
 
@@ -10,28 +10,34 @@
 from tulippin.types import OutcomeKind
 
 RETRY_PAUSE_MS = 50
-_RETRY_AFTER_MS = 1000
-_WAIT_CODES = frozenset(('moved', 'no_owner', 'leaving', 'fenced'))
+_DEFAULT_RETRY_AFTER_MS = 1000
+_TRANSIENT_CODES = frozenset(('moved', 'no_owner', 'leaving', 'fenced'))
 
 
 def make_not_run(
-    code: str, retry_after_ms: int = _RETRY_AFTER_MS
+    code: str, retry_after_ms: int = _DEFAULT_RETRY_AFTER_MS
 ) -> RequestOutcome:
-    """Say that a request did surely not run, and when to come back."""
+    """Return the outcome of a request that is proved not to have run.
+
+    The caller may retry after ``retry_after_ms``, 0 meaning never.
+    """
     return RequestOutcome(
         OutcomeKind.NOT_RUN, code, retry_after_ms=retry_after_ms
     )
 
 
 def make_unknown(code: str) -> RequestOutcome:
-    """Say that a request may have run."""
+    """Return the outcome of a request that may have run."""
     return RequestOutcome(OutcomeKind.UNKNOWN, code)
 
 
 def check_answer(
     context: Context, ticket: Ticket, event: EndpointReplied
 ) -> RequestOutcome:
-    """Return the outcome, unknown if the answer is not whole or not ours."""
+    """Return the outcome that an endpoint's reply proves.
+
+    An answer that is truncated or belongs to another request is unknown.
+    """
     outcome = event.outcome
     seams = context.state.config.seams
     if outcome.kind is OutcomeKind.UNKNOWN and not seams.not_run_proof:
@@ -48,10 +54,17 @@
 def downgrade(
     context: Context, parent: Ticket, outcome: RequestOutcome
 ) -> RequestOutcome:
-    """Never say "not run" if an earlier try may have run."""
-    proved = context.state.config.seams.not_run_proof
+    """Return the final outcome of a request in view of its earlier tries.
+
+    A request is not reported as not run if an earlier try may have run.
+    """
+    is_proof_required = context.state.config.seams.not_run_proof
     earlier = parent.last_outcome
-    if earlier is not None and outcome.kind is OutcomeKind.NOT_RUN and proved:
+    if (
+        earlier is not None
+        and outcome.kind is OutcomeKind.NOT_RUN
+        and is_proof_required
+    ):
         return earlier
     return outcome
 
@@ -59,16 +72,20 @@
 def may_retry(
     context: Context, parent: Ticket, outcome: RequestOutcome
 ) -> bool:
-    """Tell whether to try again; a yes may be taken from the budget."""
+    """Return whether to retry a request.
+
+    A retry takes a token from the retry budget, except after a transient
+    refusal, such as by an instance that no longer owns the unit.
+    """
     state = context.state
     if context.now_ms + RETRY_PAUSE_MS >= parent.deadline_ms:
         return False
     if outcome.kind is OutcomeKind.NOT_RUN:
-        if outcome.code in _WAIT_CODES:
+        if outcome.code in _TRANSIENT_CODES:
             return True
         if not _has_other_cell(context, parent, outcome):
             return False
-    elif not _is_safe_again(parent, outcome):
+    elif not _is_safe_to_repeat(parent, outcome):
         return False
     if state.retry_tokens < 1:
         state.counters['retries_denied'] += 1
@@ -81,7 +98,10 @@
 def _has_other_cell(
     context: Context, parent: Ticket, outcome: RequestOutcome
 ) -> bool:
-    """Tell whether a refused request may find room elsewhere."""
+    """Return whether another worker or cell may accept a refused request.
+
+    A cell that reports itself overloaded is remembered as full.
+    """
     if outcome.code == 'refused':
         return True
     if outcome.code != 'overloaded':
@@ -93,11 +113,11 @@
     )
 
 
-def _is_safe_again(parent: Ticket, outcome: RequestOutcome) -> bool:
-    """Tell whether a request whose last try may have run may run again.
+def _is_safe_to_repeat(parent: Ticket, outcome: RequestOutcome) -> bool:
+    """Return whether a request whose last try may have run may be retried.
 
-    The way to the hash range's owner is safe to go again: the owner
-    knows the id.
+    A try that was lost on the way to the owner of the id's hash range is
+    safe to repeat, because that owner deduplicates by id.
     """
     if parent.request.repeatable:
         return True
--- a/src/tulippin/_requests.py
+++ b/src/tulippin/_requests.py
@@ -1,8 +1,12 @@
-"""Service requests: one outcome each, never a second run by mistake.
+"""Routing, retries and outcomes of service requests.
 
-A ticket is one request, or one try of it, on this instance. An entry
-ticket makes tries; a try goes to a cell's owner, and first to the
-owner of the id's hash range if the request must run at most once.
+Each request gets exactly one outcome, and one that is not repeatable runs
+at most once.
+
+A ticket is a request, or one try of a request, on this instance. The entry
+ticket is opened for the caller's request and makes the tries. A try goes to
+the owner of a cell that serves the service; a request that must run at most
+once goes to the owner of its id's hash range first.
 """
 
 from __future__ import annotations
@@ -40,10 +44,10 @@
 )
 from tulippin.types import OutcomeKind, is_cell
 
-_AVOID_MS = 1000
+_REFUSAL_BACKOFF_MS = 1000
 _HOP_MARGIN_MS = 120
 _STORE_RETRY_AFTER_MS = 5000
-_MAX_TOKENS = 100.0
+_MAX_RETRY_TOKENS = 100.0
 
 
 def _open_ticket(
@@ -60,8 +64,8 @@
     return ticket
 
 
-def _open_child(context: Context, ticket: Ticket) -> Ticket:
-    """Open the ticket of one try, which answers to its parent."""
+def _open_try(context: Context, ticket: Ticket) -> Ticket:
+    """Open the ticket of one try, whose outcome goes to its parent."""
     origin = TicketOrigin(ticket.ticket)
     return _open_ticket(context, origin, ticket.request, ticket.deadline_ms)
 
@@ -79,7 +83,7 @@
         )
         return
     state.retry_tokens = min(
-        _MAX_TOKENS, state.retry_tokens + state.config.retry_budget_ratio
+        _MAX_RETRY_TOKENS, state.retry_tokens + state.config.retry_budget_ratio
     )
     ticket = _open_ticket(
         context,
@@ -91,7 +95,7 @@
 
 
 def _route(context: Context, ticket: Ticket) -> None:
-    """Make the next try of an entry ticket."""
+    """Start the next try of a ticket."""
     ticket.retry_at_ms = None
     ticket.try_count += 1
     ticket.stage = Stage.TRYING
@@ -117,40 +121,44 @@
 def _route_to_cell(context: Context, ticket: Ticket) -> None:
     unit = _serving.pick_cell(context, ticket)
     if not unit:
-        # A cell that changes hands serves again soon: the try is repeated,
-        # while "no endpoint" would be final. 5 of 30 starts of two instances
-        # beside load refused a request so.
-        is_known = _serving.is_told_of(context, ticket.request.service)
-        code = 'moved' if is_known else 'no_endpoint'
-        _child_done(context, ticket, _proofs.make_not_run(code))
+        # A cell that changes owners serves again soon. "moved" is retried,
+        # while "no_endpoint" would be final: it refused a request in 5 of
+        # 30 starts of two instances under load.
+        was_served = _serving.was_recently_served(
+            context, ticket.request.service
+        )
+        code = 'moved' if was_served else 'no_endpoint'
+        _handle_try_outcome(context, ticket, _proofs.make_not_run(code))
         return
     ticket.try_unit = unit
     cell = context.state.cells.get(unit)
     if cell is None:
         _forward(context, ticket, unit)
         return
-    _enqueue(context, _open_child(context, ticket), cell)
+    _enqueue(context, _open_try(context, ticket), cell)
 
 
 def _forward(context: Context, ticket: Ticket, unit: str) -> None:
-    """Make a try by the unit's owner on another instance."""
+    """Forward a try to the unit's owner on another instance."""
     holder = context.get_holder(unit)
     state = context.state
     reachable = holder is not None and holder.session_id in state.peers
     if holder is None or not reachable or not state.session.session_id:
-        _child_done(context, ticket, _proofs.make_not_run('no_owner'))
+        _handle_try_outcome(context, ticket, _proofs.make_not_run('no_owner'))
         return
     if not context.is_heard(holder.session_id):
-        _child_done(context, ticket, _proofs.make_not_run('owner_unreachable'))
+        _handle_try_outcome(
+            context, ticket, _proofs.make_not_run('owner_unreachable')
+        )
         return
-    child = _open_child(context, ticket)
-    child.stage = Stage.FORWARDED
-    child.unit = unit
-    child.target_session = holder.session_id
+    try_ticket = _open_try(context, ticket)
+    try_ticket.stage = Stage.FORWARDED
+    try_ticket.unit = unit
+    try_ticket.target_session = holder.session_id
     context.send(
         holder.session_id,
         RequestForwarded(
-            child.ticket,
+            try_ticket.ticket,
             unit,
             ticket.request,
             _get_hop_ms(context, ticket),
@@ -159,10 +167,10 @@
 
 
 def _get_hop_ms(context: Context, ticket: Ticket) -> int:
-    """Return the time that the next instance has.
+    """Return the time limit for the instance that a try is forwarded to.
 
-    It gives up a little earlier, so that its proof that a request did
-    not run is back here in time.
+    It is shorter than the remaining time, so that the proof that a
+    request did not run arrives here before the deadline.
     """
     remaining_ms = ticket.deadline_ms - context.now_ms
     return max(remaining_ms // 2, remaining_ms - _HOP_MARGIN_MS)
@@ -190,19 +198,23 @@
 
 
 def _open_durably(context: Context, ticket: Ticket, home: RangeState) -> None:
-    """Make a non-repeatable request durable before it is sent."""
+    """Record a non-repeatable request before it is sent.
+
+    If its id is recorded already, the request gets the recorded outcome or
+    waits for that of the open request.
+    """
     request_id = ticket.request.request_id
-    known = _get_known(home, request_id)
+    recorded = _get_recorded(home, request_id)
     if not context.state.config.seams.deduplication:
-        known = None
+        recorded = None
     if home.phase is Phase.LOADING:
-        _child_done(context, ticket, _proofs.make_not_run('moved'))
-    elif known is not None:
-        _finish(context, ticket, _replay(known, ticket.request))
+        _handle_try_outcome(context, ticket, _proofs.make_not_run('moved'))
+    elif recorded is not None:
+        _finish(context, ticket, _replay(recorded, ticket.request))
     elif request_id in home.request_tickets:
-        _join(context, ticket, home)
+        _join_open_request(context, ticket, home)
     elif home.phase is not Phase.ACTIVE:
-        _child_done(context, ticket, _proofs.make_not_run('moved'))
+        _handle_try_outcome(context, ticket, _proofs.make_not_run('moved'))
     elif not context.store_ready:
         outcome = _proofs.make_not_run(
             'store_unavailable', _STORE_RETRY_AFTER_MS
@@ -224,8 +236,11 @@
         )
 
 
-def _get_known(home: RangeState, request_id: str) -> RequestEntry | None:
-    """Return what is known of an id that no ticket here works on."""
+def _get_recorded(home: RangeState, request_id: str) -> RequestEntry | None:
+    """Return the recorded request of an id, if none is open here.
+
+    A request that is being closed as not run counts as unrecorded.
+    """
     if request_id in home.request_tickets:
         return None
     closing = home.closing.get(request_id)
@@ -235,8 +250,10 @@
     return home.ledger.requests.get(request_id)
 
 
-def _join(context: Context, ticket: Ticket, home: RangeState) -> None:
-    """Let a second call with the same id wait for the first's outcome."""
+def _join_open_request(
+    context: Context, ticket: Ticket, home: RangeState
+) -> None:
+    """Let a request wait for the outcome of an open one with the same id."""
     first = context.state.tickets.get(
         home.request_tickets[ticket.request.request_id]
     )
@@ -250,7 +267,7 @@
 
 
 def _replay(entry: RequestEntry, request: ServiceRequest) -> RequestOutcome:
-    """Return the same answer again, or say that it is not known."""
+    """Return the recorded outcome again, or unknown if there is none."""
     if entry.digest != request.digest:
         return _proofs.make_not_run('id_reused', 0)
     if entry.outcome is None:
@@ -263,7 +280,8 @@
     number = unit.request_tickets.get(record.request_id, 0)
     ticket = context.state.tickets.get(number)
     if ticket is None or number != record.ticket:
-        # Given up before it was durable; its closing follows.
+        # The request ended before its opening was durable; the record that
+        # closes it follows.
         return
     ticket.durable = True
     _route(context, ticket)
@@ -272,7 +290,10 @@
 def _close_durably(
     context: Context, ticket: Ticket, outcome: RequestOutcome
 ) -> None:
-    """Record how a durable request ended, if the range is still owned."""
+    """Record the outcome of a durable request, if its range is still owned.
+
+    An answer above ``kept_answer_bytes`` is recorded as unknown.
+    """
     home = context.state.ranges.get(ticket.unit)
     if home is None or home.epoch != ticket.epoch:
         return
@@ -320,7 +341,7 @@
 
 
 def pump_worker(context: Context, cell: CellState, worker: WorkerState) -> None:
-    """Send what waits for the services of a worker."""
+    """Send queued requests for the services of a worker."""
     for service, endpoints in list(cell.endpoints.items()):
         if worker.worker_id in endpoints.values():
             pump(context, cell, service)
@@ -380,11 +401,12 @@
         cell, worker = found
         sent = worker.dispatched.pop(ticket.ticket, None)
         if outcome.kind is OutcomeKind.UNKNOWN and sent is not None:
-            # The endpoint may still hold the slot; the next report tells.
+            # The request may still occupy the slot; the worker's next report
+            # shows whether it does.
             worker.foreign_busy += 1
             worker.dirty = True
         if outcome.code == 'refused':
-            worker.avoid_until_ms = context.now_ms + _AVOID_MS
+            worker.avoid_until_ms = context.now_ms + _REFUSAL_BACKOFF_MS
             worker.hurry = True
         if event.endpoint_leaving:
             worker.leaving = True
@@ -399,7 +421,7 @@
 
 
 def _finish(context: Context, ticket: Ticket, outcome: RequestOutcome) -> None:
-    """Give a ticket its outcome and tell everyone who waits for it."""
+    """End a ticket and send its outcome to its origin and all waiters."""
     context.state.tickets.pop(ticket.ticket, None)
     if ticket.stage is Stage.OPENING or ticket.durable:
         _close_durably(context, ticket, outcome)
@@ -409,7 +431,7 @@
 
 @functools.singledispatch
 def answer(origin: Origin, context: Context, outcome: RequestOutcome) -> None:
-    """Give an outcome to where the request came from."""
+    """Send an outcome to the origin of a request."""
     raise NotImplementedError(type(origin))
 
 
@@ -428,7 +450,7 @@
 def _(origin: TicketOrigin, context: Context, outcome: RequestOutcome) -> None:
     parent = context.state.tickets.get(origin.ticket)
     if parent is not None:
-        _child_done(context, parent, outcome)
+        _handle_try_outcome(context, parent, outcome)
 
 
 @receive.register
@@ -440,10 +462,10 @@
         _finish(context, ticket, message.outcome)
 
 
-def _child_done(
+def _handle_try_outcome(
     context: Context, parent: Ticket, outcome: RequestOutcome
 ) -> None:
-    """Decide after a try: it is final, or another try is made."""
+    """Finish a ticket with the outcome of a try, or schedule another try."""
     if outcome.kind in {OutcomeKind.ANSWERED, OutcomeKind.FAILED}:
         _finish(context, parent, outcome)
         return
@@ -459,7 +481,7 @@
 
 
 def fail_message(message: object, session_id: str, context: Context) -> None:
-    """Note that a message to a peer may not have arrived."""
+    """End the try of a message that may not have reached its peer."""
     if not isinstance(message, RequestForwarded):
         return
     ticket = context.state.tickets.get(message.call_id)
@@ -468,7 +490,7 @@
 
 
 def lose_peer(context: Context, session_id: str) -> None:
-    """End the tries that a session which is over had in hand."""
+    """End the tries that were forwarded to a session that has ended."""
     for ticket in list(context.state.tickets.values()):
         forwarded = ticket.stage is Stage.FORWARDED
         if forwarded and ticket.target_session == session_id:
@@ -476,9 +498,10 @@
 
 
 def leave_unit(context: Context, unit: UnitState) -> None:
-    """Let go of the requests that wait on a unit that is given up.
+    """End the requests that wait for a unit which this instance releases.
 
-    Requests that are at an endpoint stay: their answers still count.
+    Requests that were sent to an endpoint stay, because their answers are
+    still valid.
     """
     for ticket in list(context.state.tickets.values()):
         if ticket.unit != unit.unit:
@@ -491,7 +514,7 @@
 
 
 def tick(context: Context) -> None:
-    """Make the tries that are due and end what is out of time."""
+    """Start the tries that are due and end tickets past their deadline."""
     for ticket in list(context.state.tickets.values()):
         if ticket.ticket not in context.state.tickets:
             continue
@@ -512,5 +535,6 @@
     elif ticket.stage is Stage.FORWARDED or ticket.stage is Stage.JOINED:
         _finish(context, ticket, _proofs.make_unknown('deadline'))
     elif ticket.stage is Stage.OPENING:
-        # It is not sent before its opening is durable: it did not run.
+        # A request is sent only after its opening is durable, so this one
+        # did not run.
         _finish(context, ticket, _proofs.make_not_run('deadline'))
--- a/src/tulippin/_serving.py
+++ b/src/tulippin/_serving.py
@@ -1,4 +1,4 @@
-"""Where a service is served: cells with free slots, and their workers."""
+"""Choice of a cell and of a worker for a service request."""
 
 from __future__ import annotations
 
@@ -8,48 +8,60 @@
 from tulippin._context import Context
 from tulippin.state import CellState, Phase, Ticket, WorkerState
 
-# A cell whose owner was lost is served again within 6 s, and told of with the
-# next gossip.
-_TELLING_MS = 8000
+# A cell whose owner was lost serves again within 6 s, and the next gossip
+# reports its services.
+_RECENTLY_SERVED_MS = 8000
 
 
 def pick_cell(context: Context, ticket: Ticket) -> str:
-    """Return an own cell with a free slot, or the freer of two others."""
+    """Return the cell for the next try of a request, or an empty string.
+
+    Cells of this instance with a free slot come first. Among the
+    candidates, two are drawn at random and the one with more free slots
+    is taken. Cells that were full before are used only if no other is
+    left.
+    """
     service = ticket.request.service
-    known = dict(iter_serving(context, service))
-    fresh = [unit for unit in known if unit not in ticket.full_cells]
-    names = sorted(fresh or known)
+    free_slots = dict(iter_serving(context, service))
+    not_full = [unit for unit in free_slots if unit not in ticket.full_cells]
+    names = sorted(not_full or free_slots)
     own = [
         unit
         for unit in names
-        if unit in context.state.cells and known[unit] > 0
+        if unit in context.state.cells and free_slots[unit] > 0
     ]
     if own:
         names = own
     if len(names) > 2:
         names = context.state.random.sample(names, 2)
-    return max(names, key=lambda unit: known[unit], default='')
+    return max(names, key=lambda unit: free_slots[unit], default='')
 
 
-def is_told_of(context: Context, service: str) -> bool:
-    """Whether a cell had a task of a service a moment ago.
+def was_recently_served(context: Context, service: str) -> bool:
+    """Return whether a cell was reported to serve a service recently.
 
-    While a cell changes hands nobody tells of it: its old owner has given
-    it up, and the new one loads it.
+    While a cell changes owners, no instance reports its services: the old
+    owner has released it, and the new one is still loading it.
     """
-    told_ms = context.state.service_told_ms.get(service)
-    return told_ms is not None and context.now_ms - told_ms < _TELLING_MS
+    reported_ms = context.state.service_told_ms.get(service)
+    return (
+        reported_ms is not None
+        and context.now_ms - reported_ms < _RECENTLY_SERVED_MS
+    )
 
 
 def iter_serving(context: Context, service: str) -> t.Iterator[tuple[str, int]]:
-    """Yield the cells that serve a service, each with its free slots."""
+    """Yield the cells that serve a service, each with its free slots.
+
+    Queued requests are subtracted, so that a count may be negative.
+    """
     for session_id, peer in context.state.peers.items():
         if not context.is_heard(session_id):
             continue
         for summary in peer.summaries.values():
             holder = context.get_holder(summary.unit)
-            current = holder is not None and holder.epoch == summary.epoch
-            if service in summary.services and current:
+            is_current = holder is not None and holder.epoch == summary.epoch
+            if service in summary.services and is_current:
                 yield summary.unit, summary.services[service]
     for cell in context.state.cells.values():
         if cell.phase is Phase.ACTIVE and service in cell.endpoints:
@@ -64,7 +76,11 @@
 def choose_endpoint(
     context: Context, cell: CellState, service: str
 ) -> WorkerState | None:
-    """Return the worker of the service with the most free slots."""
+    """Return the worker of the service with the most free slots, if any.
+
+    The pressure decides between equals. A worker that has just refused a
+    request is skipped.
+    """
     workers = [
         cell.workers[worker_id]
         for worker_id in sorted(set(cell.endpoints.get(service, {}).values()))
--- a/src/tulippin/_worker_state.py
+++ b/src/tulippin/_worker_state.py
@@ -1,4 +1,4 @@
-"""What may be asked and done of one worker of an owned cell."""
+"""Queries and updates of the state of one worker of an owned cell."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from tulippin.state import CellState, Seams, WorkerState
 from tulippin.types import JobKind, JobSpec, Resources, WorkerStanding
 
-_DRIFT_DIVISOR = 50
+_CLOCK_DRIFT_DIVISOR = 50
 
 
-def get_first_lapse_ms(context: Context, cell: CellState) -> int:
-    """Return when every lease given by former owners has surely lapsed.
+def get_initial_lapse_ms(context: Context, cell: CellState) -> int:
+    """Return when all leases from former owners of the cell have lapsed.
 
-    A predecessor that lost the store may have kept its workers' leases
-    alive for as long as ``detached_limit_ms``.
+    A predecessor that lost the store may have renewed its workers' leases
+    for up to ``detached_limit_ms``.
     """
     config = context.state.config
     bound_ms = context.now_ms + get_lease_bound_ms(context)
@@ -25,16 +25,16 @@
 
 
 def get_lease_bound_ms(context: Context) -> int:
-    """Return how long a lease may last, drift of clocks included."""
+    """Return the longest duration of a lease, including clock drift."""
     config = context.state.config
     lease_ms = config.worker_lease_ms
-    return lease_ms + lease_ms // _DRIFT_DIVISOR + config.lease_margin_ms
+    return lease_ms + lease_ms // _CLOCK_DRIFT_DIVISOR + config.lease_margin_ms
 
 
 def hold(
     worker: WorkerState, task_id: str, spec: JobSpec, reserved: Resources
 ) -> None:
-    """Reserve room for an attempt, and count it by its class."""
+    """Reserve capacity for an attempt and count it by its job class."""
     worker.attempts.add(task_id)
     worker.reserved = worker.reserved.add(reserved)
     get_class_counts(worker, spec)[spec.job_class] += 1
@@ -43,7 +43,7 @@
 def release(
     worker: WorkerState, task_id: str, spec: JobSpec, reserved: Resources
 ) -> None:
-    """Give back the room of an attempt."""
+    """Release the capacity reserved for an attempt."""
     if task_id in worker.attempts:
         worker.attempts.discard(task_id)
         worker.reserved = worker.reserved.subtract(reserved)
@@ -59,21 +59,21 @@
 def get_class_counts(
     worker: WorkerState, spec: JobSpec
 ) -> collections.Counter[str]:
-    """Return the counts that a job's attempts on a worker belong to."""
+    """Return a worker's attempts by job class, for the kind of a job."""
     service = spec.kind is JobKind.SERVICE
     return worker.service_counts if service else worker.batch_counts
 
 
 def is_leaving(worker: WorkerState, seams: Seams) -> bool:
-    """Tell whether a worker is to get nothing new."""
+    """Return whether a worker is leaving and must get no new work."""
     if not seams.drain:
         return False
     listed = worker.info.standing is WorkerStanding.LEAVING
     return worker.leaving or worker.absent or listed
 
 
-def is_fresh(context: Context, worker: WorkerState) -> bool:
-    """Tell whether a worker has replied lately."""
+def is_responsive(context: Context, worker: WorkerState) -> bool:
+    """Return whether a worker has replied within ``worker_suspect_ms``."""
     silent_ms = context.now_ms - worker.last_reply_ms
     return (
         worker.last_reply_ms >= 0
@@ -82,9 +82,9 @@
 
 
 def is_placeable(context: Context, worker: WorkerState) -> bool:
-    """Tell whether a worker may get new attempts."""
+    """Return whether a worker may get new attempts."""
     return (
-        is_fresh(context, worker)
+        is_responsive(context, worker)
         and not worker.lost
         and not is_leaving(worker, context.state.config.seams)
         and context.now_ms >= worker.quarantined_until_ms
@@ -92,16 +92,19 @@
 
 
 def is_serving(context: Context, worker: WorkerState) -> bool:
-    """Tell whether a worker may get new requests."""
+    """Return whether a worker may get new requests.
+
+    Quarantine stops new attempts only, not requests.
+    """
     return (
-        is_fresh(context, worker)
+        is_responsive(context, worker)
         and not worker.lost
         and not is_leaving(worker, context.state.config.seams)
     )
 
 
 def remove_endpoint(cell: CellState, service: str, task_id: str) -> None:
-    """Take a service's task out of the endpoints."""
+    """Remove a task from the endpoints of its service."""
     endpoints = cell.endpoints.get(service)
     if endpoints is not None:
         endpoints.pop(task_id, None)
@@ -112,7 +115,7 @@
 def evict(
     context: Context, cell: CellState, worker: WorkerState, task_id: str
 ) -> None:
-    """Have an attempt checkpointed and stopped."""
+    """Request that the worker checkpoint and stop an attempt."""
     if worker.stopping.setdefault(task_id, 'evicted') == 'evicted':
         worker.hurry = True
 
@@ -120,7 +123,7 @@
 def find_worker(
     context: Context, worker_id: str
 ) -> tuple[CellState, WorkerState] | None:
-    """Return an owned worker with its cell."""
+    """Return a worker of an owned cell, with the cell."""
     info = context.state.workers.get(worker_id)
     if info is not None:
         cell = context.state.cells.get(f'cell/{info.cell}')
--- a/src/tulippin/_workers.py
+++ b/src/tulippin/_workers.py
@@ -1,4 +1,8 @@
-"""Workers of owned cells: syncs, reports, leases and lost workers."""
+"""Protocol with the workers of owned cells.
+
+Sends syncs with leases, starts and stops, reconciles the reports with the
+cell's ledger, and ends the attempts of lost workers.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
     WorkerSync,
 )
 
-_RETRY_SYNC_MS = 500
+_SYNC_RETRY_DELAY_MS = 500
 
 _OUTCOMES: t.Final = {
     RunState.DONE: TaskOutcome.DONE,
@@ -42,24 +46,24 @@
 
 
 def tick_cell(context: Context, cell: CellState) -> None:
-    """Sync the workers that are due, and give up those surely lost."""
+    """Sync the workers that are due, drain leaving and end lost ones."""
     for worker in cell.workers.values():
         if _is_due(context, worker):
             send_sync(context, cell, worker)
         if _is_lapsed(context, worker):
-            _give_up(context, cell, worker)
+            _mark_lost(context, cell, worker)
         elif (
             _worker_state.is_leaving(worker, context.state.config.seams)
             and context.may_act
         ):
-            _drain(context, cell, worker)
+            _drain_worker(context, cell, worker)
 
 
 def _is_due(context: Context, worker: WorkerState) -> bool:
-    """Tell whether a worker is to be synced now.
+    """Return whether a worker is due for a sync.
 
-    Starts of ordinary work gather for ``sync_gap_ms``, so that a report
-    of all that a worker holds is not paid for each start.
+    Starts of ordinary work are batched for ``sync_gap_ms``, because each
+    sync costs a report of everything that the worker holds.
     """
     if worker.hurry or context.now_ms >= worker.next_sync_ms:
         return True
@@ -68,19 +72,20 @@
 
 
 def _is_lapsed(context: Context, worker: WorkerState) -> bool:
-    if worker.lost or _worker_state.is_fresh(context, worker):
+    if worker.lost or _worker_state.is_responsive(context, worker):
         return False
     if not context.state.config.seams.lease_wait:
         return context.may_act
     if not context.may_act or context.now_ms < worker.lapse_ms:
         return False
-    # The silence may have been this instance's own: ask once more first.
-    asked = worker.failed_sent_ms >= worker.lapse_ms
-    return asked or not worker.info.address
+    # The silence may come from a pause of this instance, so the worker counts
+    # as lost only if a sync sent after the lapse fails too.
+    confirmed = worker.failed_sent_ms >= worker.lapse_ms
+    return confirmed or not worker.info.address
 
 
-def _give_up(context: Context, cell: CellState, worker: WorkerState) -> None:
-    """End the attempts of a worker whose leases have surely lapsed."""
+def _mark_lost(context: Context, cell: CellState, worker: WorkerState) -> None:
+    """End the attempts of a worker whose leases have all lapsed."""
     worker.lost = True
     context.state.counters['workers_lost'] += 1
     for task_id in sorted(worker.attempts):
@@ -91,8 +96,10 @@
         worker.next_sync_ms = context.now_ms
 
 
-def _drain(context: Context, cell: CellState, worker: WorkerState) -> None:
-    """Evict batch work of a leaving worker, and services that idle."""
+def _drain_worker(
+    context: Context, cell: CellState, worker: WorkerState
+) -> None:
+    """Evict a leaving worker's batch work, and services without requests."""
     busy = bool(worker.dispatched)
     for task_id in worker.started - set(worker.stopping):
         entry = cell.ledger.attempts.get(task_id)
@@ -103,7 +110,10 @@
 
 
 def send_sync(context: Context, cell: CellState, worker: WorkerState) -> None:
-    """Send a worker its leases, starts and stops, one sync at a time."""
+    """Send a worker its leases, starts and stops.
+
+    At most one sync to a worker is in flight.
+    """
     config = context.state.config
     if worker.sync_in_flight or not worker.info.address:
         return
@@ -129,7 +139,7 @@
     renew: list[AttemptKey] = []
     start: list[StartTask] = []
     stop = [AttemptKey(*key) for key in sorted(worker.orphans)]
-    for entry in _iter_kept(cell, worker):
+    for entry in _iter_unfinished(cell, worker):
         task_id = entry.task.task_id
         key = AttemptKey(task_id, entry.task.attempt)
         if task_id in worker.stopping and len(stop) < config.stops_per_sync:
@@ -139,7 +149,7 @@
         elif task_id not in worker.stopping:
             start.append(_make_start(entry))
     if not context.may_act:
-        # Detached: keep alive what runs, begin and end nothing.
+        # Detached: renew running attempts, but start and stop none.
         start, stop = [], []
     return WorkerSync(
         worker.worker_id,
@@ -150,15 +160,15 @@
         tuple(renew),
         tuple(start),
         tuple(stop),
-        tuple(_make_throttles(cell, worker)),
+        tuple(_iter_throttled(cell, worker)),
         tuple(AttemptKey(*key) for key in sorted(worker.forgotten)),
     )
 
 
-def _iter_kept(
+def _iter_unfinished(
     cell: CellState, worker: WorkerState
 ) -> t.Iterator[AttemptEntry]:
-    """Iterate over attempts that are to run here, none that is ending."""
+    """Yield the unfinished attempts of a worker that are not ending."""
     for task_id in sorted(worker.attempts):
         entry = cell.ledger.attempts.get(task_id)
         if entry is None or entry.outcome is not None:
@@ -167,7 +177,7 @@
             yield entry
 
 
-def _make_throttles(
+def _iter_throttled(
     cell: CellState, worker: WorkerState
 ) -> t.Iterator[AttemptKey]:
     for task_id in sorted(worker.throttled):
@@ -195,7 +205,7 @@
         return
     cell, worker = found
     if event.refused and event.epoch == cell.epoch:
-        # A higher epoch is at work: this instance was fenced here.
+        # The worker has seen a higher epoch: this owner is fenced.
         if context.state.config.seams.fencing:
             context.state.counters['cells_fenced'] += 1
             drop_unit(context, cell)
@@ -204,7 +214,7 @@
     if event.epoch == cell.epoch and event.sequence == worker.sync_in_flight:
         worker.sync_in_flight = 0
         worker.failed_sent_ms = worker.sync_sent_ms
-        worker.next_sync_ms = context.now_ms + _RETRY_SYNC_MS
+        worker.next_sync_ms = context.now_ms + _SYNC_RETRY_DELAY_MS
 
 
 @handle.register
@@ -216,18 +226,18 @@
     if event.epoch != cell.epoch or event.sequence != worker.sync_in_flight:
         return
     worker.sync_in_flight = 0
-    _note_reply(context, worker, event.report)
-    _count_foreign(worker, event.report)
+    _record_reply(context, worker, event.report)
+    _update_foreign_busy(worker, event.report)
     if cell.phase is Phase.ACTIVE and context.may_act:
         _reconcile(context, cell, worker, event.report)
     elif context.state.session.standing is Standing.DETACHED:
-        _keep_endpoints(cell, worker, event.report)
+        _remove_ended_endpoints(cell, worker, event.report)
     _requests.pump_worker(context, cell, worker)
     if worker.hurry:
         send_sync(context, cell, worker)
 
 
-def _note_reply(
+def _record_reply(
     context: Context, worker: WorkerState, report: WorkerReport
 ) -> None:
     first = worker.last_reply_ms < 0
@@ -241,8 +251,13 @@
         worker.hurry = True
 
 
-def _count_foreign(worker: WorkerState, report: WorkerReport) -> None:
-    """Reckon slots that requests of others, or lost ones, still hold."""
+def _update_foreign_busy(worker: WorkerState, report: WorkerReport) -> None:
+    """Estimate the slots held by requests that are not tracked here.
+
+    These are requests of a former owner or ones whose answer was lost.
+    The estimate only shrinks here: busy slots beyond the requests that
+    were certainly running when the sync was sent are the upper bound.
+    """
     certain = sum(
         sent_ms < worker.sync_sent_ms for sent_ms in worker.dispatched.values()
     )
@@ -256,7 +271,7 @@
     worker: WorkerState,
     report: WorkerReport,
 ) -> None:
-    """Compare what a worker reports with what the cell's ledger says."""
+    """Reconcile a worker's report with the cell's ledger."""
     worker.incarnation = report.incarnation
     worker.orphans.clear()
     worker.forgotten.clear()
@@ -266,7 +281,7 @@
         _reconcile_run(context, cell, worker, run)
     for task_id in sorted(worker.attempts - reported):
         _reconcile_missing(context, cell, worker, task_id)
-    _pressure.learn(context, cell, worker, report)
+    _pressure.learn_from_report(context, cell, worker, report)
 
 
 def _reconcile_run(
@@ -274,12 +289,12 @@
 ) -> None:
     entry = cell.ledger.attempts.get(run.task_id)
     key = (run.task_id, run.attempt)
-    ours = (
+    is_assigned_here = (
         entry is not None
         and entry.task.attempt == run.attempt
         and entry.worker_id == worker.worker_id
     )
-    if entry is None or not ours or entry.outcome is not None:
+    if entry is None or not is_assigned_here or entry.outcome is not None:
         if run.state is RunState.RUNNING:
             worker.orphans.add(key)
             worker.hurry = True
@@ -287,7 +302,7 @@
             worker.forgotten.add(key)
         return
     if run.state is RunState.RUNNING:
-        _note_running(context, cell, worker, entry)
+        _record_running(context, cell, worker, entry)
         return
     outcome = _OUTCOMES[run.state]
     if worker.stopping.get(run.task_id) == 'cancelled' and (
@@ -297,7 +312,7 @@
     propose_end(context, cell, entry, outcome, run.checkpoint)
 
 
-def _note_running(
+def _record_running(
     context: Context,
     cell: CellState,
     worker: WorkerState,
@@ -331,10 +346,13 @@
         worker.dirty = True
 
 
-def _keep_endpoints(
+def _remove_ended_endpoints(
     cell: CellState, worker: WorkerState, report: WorkerReport
 ) -> None:
-    """While detached, drop endpoints that no longer run; end nothing."""
+    """Remove the endpoints of a worker that no longer run.
+
+    Used while detached, when no attempt may be ended.
+    """
     running = {
         run.task_id for run in report.runs if run.state is RunState.RUNNING
     }
@@ -351,7 +369,7 @@
     outcome: TaskOutcome,
     checkpoint: str = '',
 ) -> None:
-    """Record how an attempt ended, once."""
+    """Record the outcome of an attempt, unless that is already in progress."""
     task = entry.task
     if cell.phase is not Phase.ACTIVE:
         return
