--- a/src/tulippin/codec.py
+++ b/src/tulippin/codec.py
@@ -1,4 +1,4 @@
-"""Typed JSON for the table, the journal and peers, by msgspec."""
+"""JSON encoding of peer messages, journal records and unit states."""
 
 from __future__ import annotations
 
@@ -24,14 +24,20 @@
 
 
 def decode_message(kind: str, body: bytes) -> t.Any:
-    """Return a peer message; an unknown kind is an ``InputError``."""
+    """Return a peer message.
+
+    Raises
+    ------
+    InputError
+        If the kind is unknown or the body is invalid.
+    """
     if kind not in _MESSAGES:
         raise InputError(f'unknown peer message {kind!r}', code='bad_message')
     return decode(body, _MESSAGES[kind])
 
 
 def encode_records(unit_records: t.Iterable[records.UnitRecord]) -> str:
-    """Return records as one row of JSON, each with its kind."""
+    """Return records as the JSON of one journal row, each with its kind."""
     return encode(
         [
             (entry.unit, entry.epoch, type(entry.record).__name__, entry.record)
@@ -41,7 +47,7 @@
 
 
 def decode_records(body: str) -> tuple[records.UnitRecord, ...]:
-    """Return the records of one row."""
+    """Return the records of one journal row."""
     rows = decode(body, list[tuple[str, int, str, msgspec.Raw]])
     return tuple(
         records.UnitRecord(unit, epoch, decode(bytes(raw), _RECORDS[kind]))
@@ -57,7 +63,7 @@
 
 
 def split_ledgers(body: bytes) -> dict[str, tuple[int, bytes]]:
-    """Return each unit's epoch and its state, still as JSON."""
+    """Return the epoch of each unit and its state, which stays encoded."""
     rows = decode(body, list[tuple[str, int, msgspec.Raw]])
     return {unit: (epoch, bytes(raw)) for unit, epoch, raw in rows}
 
--- a/src/tulippin/codec_json.py
+++ b/src/tulippin/codec_json.py
@@ -1,4 +1,4 @@
-"""JSON of attrs values by msgspec, with errors of the family."""
+"""JSON encoding and typed decoding of attrs values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 Decoded = t.TypeVar('Decoded')
 
-_UNREADABLE: t.Final = (
+_DECODE_ERRORS: t.Final = (
     msgspec.DecodeError,
     UnicodeDecodeError,
     RecursionError,
@@ -20,12 +20,12 @@
 
 
 def encode(value: t.Any) -> bytes:
-    """Return a value as JSON."""
+    """Return the JSON of a value."""
     return msgspec.json.encode(value)
 
 
 def decode(body: bytes | str, kind: type[Decoded]) -> Decoded:
-    """Return JSON as a value of the given type.
+    """Return the value of the given type that JSON encodes.
 
     Raises
     ------
@@ -38,5 +38,5 @@
         decoder = _decoders[kind] = msgspec.json.Decoder(kind)
     try:
         return t.cast(Decoded, decoder.decode(body))
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         raise InputError(str(error), code='bad_json') from error
--- a/src/tulippin/ledger.py
+++ b/src/tulippin/ledger.py
@@ -1,7 +1,7 @@
-"""The durable state of a unit: a fold of its journal's records.
+"""The durable state of a unit, built by applying its journal's records.
 
-Live commits and recovery use the same ``apply``, so a successor sees
-exactly what its predecessor saw.
+Commits and recovery use the same ``apply``, so that a successor recovers
+exactly the state of its predecessor.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @attrs.define
 class AttemptEntry:
-    """An attempt that a cell has placed and not yet forgotten."""
+    """An attempt that a cell has placed and not yet removed."""
 
     task: records.TaskRef
     spec: JobSpec
@@ -47,7 +47,7 @@
 
     @property
     def assigned(self) -> bool:
-        """Tell whether the current attempt is with a cell."""
+        """Return whether the current attempt is assigned to a cell."""
         return bool(self.cell)
 
 
@@ -55,8 +55,8 @@
 class JobEntry:
     """Durable state of a job.
 
-    Tasks below ``fresh_index`` have been assigned at least once; of
-    those, only the unfinished are kept in ``tasks``.
+    Tasks below ``fresh_index`` have been assigned at least once or were
+    cancelled; only the unfinished ones of them are kept in ``tasks``.
     """
 
     spec: JobSpec
@@ -71,13 +71,13 @@
 
     @property
     def finished(self) -> bool:
-        """Tell whether no task is left to run."""
+        """Return whether all tasks have ended."""
         return not self.tasks and self.fresh_index >= self.spec.task_count
 
 
 @attrs.define
 class RequestEntry:
-    """A non-repeatable request; no outcome means that it may have run."""
+    """A non-repeatable request; without an outcome it may have run."""
 
     digest: str
     opened_ms: int = 0
@@ -99,7 +99,7 @@
 
 @functools.singledispatch
 def apply(record: object, ledger: Ledger) -> None:
-    """Fold one record into the state of its unit."""
+    """Apply one record to the durable state of its unit."""
     raise NotImplementedError(type(record))
 
 
@@ -119,9 +119,9 @@
     job.cancelled = True
     job.cancelled_count += job.spec.task_count - job.fresh_index
     job.fresh_index = job.spec.task_count
-    kept = {key: task for key, task in job.tasks.items() if task.assigned}
-    job.cancelled_count += len(job.tasks) - len(kept)
-    job.tasks = kept
+    assigned = {key: task for key, task in job.tasks.items() if task.assigned}
+    job.cancelled_count += len(job.tasks) - len(assigned)
+    job.tasks = assigned
 
 
 @apply.register
@@ -156,10 +156,10 @@
     task.checkpoint = record.checkpoint or task.checkpoint
     if record.outcome is TaskOutcome.FAILED:
         task.failure_count += 1
-    _settle_task(job, record, task)
+    _end_task(job, record, task)
 
 
-def _settle_task(
+def _end_task(
     job: JobEntry, record: records.TaskReturned, task: TaskEntry
 ) -> None:
     if record.outcome is TaskOutcome.DONE:
--- a/src/tulippin/messages.py
+++ b/src/tulippin/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between instances; each may be lost, none is reordered."""
+"""Messages between instances. They may be lost but are never reordered."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 @attrs.frozen
 class CellSummary:
-    """What a cell could still take, as of its owner's last look.
+    """Free capacity of a cell, as of its owner's last gossip message.
 
-    ``harm`` is, for a batch class, the slowdown that one more task of it
-    would add on the cell's best worker; empty unless the bundle has but
-    one policy and that learns interference.
+    ``services`` holds the free slots by service. ``harm`` holds, by batch
+    class, the slowdown that one more task would add on the cell's best
+    worker; it is empty unless the bundle has exactly one policy and that
+    policy learns interference.
     """
 
     unit: str
@@ -28,7 +29,7 @@
 
 @attrs.frozen
 class Gossip:
-    """An instance's own cells and the newest bundle it holds."""
+    """Periodic message with an instance's cells and its newest bundle."""
 
     summaries: tuple[CellSummary, ...]
     bundle_number: int
@@ -39,21 +40,24 @@
 
 @attrs.frozen
 class ModelShared:
-    """What an instance has learned: key, weight and number of samples."""
+    """Interference weights: key, weight and number of samples."""
 
     entries: tuple[tuple[str, float, float], ...]
 
 
 @attrs.frozen
 class BundleWanted:
-    """A peer asks for the bundle that the receiver holds."""
+    """Request for the receiver's bundle.
+
+    ``known_number`` is the number of the sender's bundle.
+    """
 
     known_number: int
 
 
 @attrs.frozen
 class BundleSent:
-    """A bundle in force, with the signatures that let the peer check it."""
+    """The bundle in force, with the signatures for its verification."""
 
     number: int
     approved: str
@@ -61,7 +65,7 @@
 
 @attrs.frozen
 class TaskOffered:
-    """A home offers an assigned attempt to the cell's owner."""
+    """Offer of an assigned attempt by its home to the cell's owner."""
 
     cell: str
     cell_epoch: int
@@ -73,7 +77,7 @@
 
 @attrs.frozen
 class TaskAsked:
-    """A home asks a new owner what became of an older epoch's attempt."""
+    """Query by a home to a cell's new owner for an older epoch's attempt."""
 
     cell: str
     task: TaskRef
@@ -82,7 +86,7 @@
 
 @attrs.frozen
 class TaskReported:
-    """A cell's owner tells the home how an attempt ended."""
+    """Report of an attempt's outcome by the cell's owner to its home."""
 
     cell: str
     task: TaskRef
@@ -92,7 +96,7 @@
 
 @attrs.frozen
 class TaskHeld:
-    """A cell's owner has the attempt in its journal."""
+    """Confirmation that a cell's owner has recorded the attempt."""
 
     cell: str
     cell_epoch: int
@@ -101,7 +105,7 @@
 
 @attrs.frozen
 class TaskRecorded:
-    """A home has recorded how an attempt ended."""
+    """Confirmation that a home has recorded an attempt's outcome."""
 
     cell: str
     task: TaskRef
@@ -109,7 +113,7 @@
 
 @attrs.frozen
 class TasksCancelled:
-    """A home withdraws attempts of a job from a cell."""
+    """Cancellation of attempts of a job by their home."""
 
     cell: str
     home: str
@@ -119,7 +123,7 @@
 
 @attrs.frozen
 class ServiceRequest:
-    """One caller's request on its way between instances."""
+    """A caller's request to a service, as sent between instances."""
 
     request_id: str
     team: str
@@ -132,10 +136,11 @@
 
 @attrs.frozen
 class RequestForwarded:
-    """An instance asks a unit's owner to carry a request.
+    """A try of a request, forwarded to a unit's owner.
 
-    ``unit`` is a cell, which runs it, or a range, which first makes it
-    durable. ``remaining_ms`` replaces the deadline: clocks differ.
+    ``unit`` is a cell, which runs the request, or a range, which records
+    it first. ``remaining_ms`` replaces the deadline, because the clocks of
+    instances differ.
     """
 
     call_id: int
@@ -146,7 +151,7 @@
 
 @attrs.frozen
 class RequestOutcome:
-    """How a request ended, with the whole answer."""
+    """The outcome of a request, with the whole answer if there is one."""
 
     kind: OutcomeKind
     code: str = ''
@@ -165,9 +170,9 @@
 
 @attrs.frozen
 class JobForwarded:
-    """A caller's job operation on its way to the job's home.
+    """A caller's job operation, forwarded to the job's home.
 
-    ``try_count`` rises each time that it is sent again.
+    ``try_count`` is incremented each time it is sent again.
     """
 
     call_id: int
@@ -213,7 +218,7 @@
 
 @attrs.frozen
 class ReportWanted:
-    """A peer asks for the figures that ``compare`` merges."""
+    """Request for the receiver's part of a merged report."""
 
     call_id: int
     kind: str
@@ -221,7 +226,7 @@
 
 @attrs.frozen
 class ReportReturned:
-    """An instance's own part of a merged report, as JSON."""
+    """An instance's part of a merged report, as JSON."""
 
     call_id: int
     body: str
--- a/src/tulippin/metrics.py
+++ b/src/tulippin/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text format, by its client library."""
+"""Prometheus metrics of an instance of tulippind."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ShellMetrics(Collector):
-    """Collects an instance's figures at each scrape.
+    """Collects an instance's metrics at each scrape.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
         shell.effect_observers.append(self._observe_effect)
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _observe_request(self, effect: ObserveLatency) -> None:
@@ -55,7 +55,7 @@
         )
 
     def collect(self) -> t.Iterator[Metric]:
-        """Yield every metric as it is now."""
+        """Yield the current value of every metric."""
         state = self._shell.state
         counters = CounterMetricFamily(
             'tulippin_events', 'Things counted, by name', labels=['name']
--- a/src/tulippin/plots.py
+++ b/src/tulippin/plots.py
@@ -1,4 +1,4 @@
-"""The comparison as a picture and as one HTML file."""
+"""Rendering of a comparison as an SVG image and as an HTML report."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def render_svg(comparison: Comparison) -> str:
-    """Return service tails, throughput and evictions as an SVG picture."""
-    # Loaded late: it takes a second that only a report should pay.
+    """Return an SVG chart of service latency, throughput and evictions."""
+    # Imported here because it takes a second, which only a report needs.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(9, 3.2), layout='constrained')
@@ -32,9 +32,13 @@
         ('p99', lambda row: row.p99_ms),
         ('p999', lambda row: row.p999_ms),
     )
-    for place, (label, getter) in enumerate(tails):
-        spots = [index + (place - 1) * width for index in range(len(rows))]
-        axes[0].bar(spots, [getter(row) for row in rows], width, label=label)
+    for position, (label, getter) in enumerate(tails):
+        bar_positions = [
+            index + (position - 1) * width for index in range(len(rows))
+        ]
+        axes[0].bar(
+            bar_positions, [getter(row) for row in rows], width, label=label
+        )
     axes[0].set_title('service latency, ms')
     axes[0].legend()
     axes[1].bar(range(len(rows)), [row.done_count for row in rows])
@@ -50,7 +54,7 @@
 
 
 def render_report(comparison: Comparison) -> str:
-    """Return a comparison as one HTML file without outside parts."""
+    """Return a comparison as a self-contained HTML page."""
     parts = [
         f'<!doctype html><html lang="en"><meta charset="utf-8">'
         f'<title>{_TITLE}</title><style>{_STYLE}</style>',
@@ -67,7 +71,7 @@
 
 
 def _render_rows(comparison: Comparison) -> str:
-    heads = (
+    headings = (
         'policy',
         'requests',
         'p50 ms',
@@ -94,33 +98,33 @@
         )
         for row in comparison.rows
     ]
-    return _render_table(heads, rows)
+    return _render_table(headings, rows)
 
 
 def _render_differences(comparison: Comparison) -> str:
-    heads = ('measure', 'first', 'second', 'pairs', 'mean', '95%', 'decided')
+    headings = ('measure', 'first', 'second', 'pairs', 'mean', '95%', 'decided')
     rows = [
         (
-            one.measure,
-            one.first,
-            one.second,
-            one.pair_count,
-            f'{one.mean:.4g}',
-            f'{one.low:.4g} to {one.high:.4g}',
-            'yes' if one.decided else 'no',
+            difference.measure,
+            difference.first,
+            difference.second,
+            difference.pair_count,
+            f'{difference.mean:.4g}',
+            f'{difference.low:.4g} to {difference.high:.4g}',
+            'yes' if difference.decided else 'no',
         )
-        for one in comparison.differences
+        for difference in comparison.differences
     ]
-    return _render_table(heads, rows)
+    return _render_table(headings, rows)
 
 
 def _render_table(
-    heads: t.Sequence[str], rows: t.Sequence[t.Sequence[object]]
+    headings: t.Sequence[str], rows: t.Sequence[t.Sequence[object]]
 ) -> str:
-    head = ''.join(f'<th>{name}</th>' for name in heads)
+    header_cells = ''.join(f'<th>{name}</th>' for name in headings)
     lines = [
         ''.join(f'<td>{html.escape(str(value))}</td>' for value in row)
         for row in rows
     ]
     body = ''.join(f'<tr>{line}</tr>' for line in lines)
-    return f'<table><tr>{head}</tr>{body}</table>'
+    return f'<table><tr>{header_cells}</tr>{body}</table>'
--- a/src/tulippin/policies.py
+++ b/src/tulippin/policies.py
@@ -1,7 +1,8 @@
-"""Placement policies: they rank workers that are feasible already.
+"""Placement policies, and the interference model that one of them uses.
 
-Feasibility (capacity, lease, epoch, leaving) is decided elsewhere and
-no policy can switch it off.
+A policy ranks the workers that are feasible for a task. Feasibility
+(capacity, lease, epoch, leaving) is checked by the callers, and no policy
+can override it.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
     from tulippin.ini import SectionReader
 
 
-_CLASS_LIMIT: t.Final = 32
-# Far above what is learned of a slowdown, and of how many samples.
-_MOST_WEIGHT: t.Final = 1e6
-_MOST_SAMPLES: t.Final = 1e6
+_MAX_CLASSES: t.Final = 32
+# Limits of weights from peers, far above any learned slowdown or sample count.
+_MAX_SHARED_WEIGHT: t.Final = 1e6
+_MAX_SHARED_SAMPLES: t.Final = 1e6
 
 
 @attrs.frozen
@@ -31,29 +32,30 @@
 
 @attrs.frozen
 class RandomPolicy(Policy):
-    """Any feasible worker."""
+    """Picks any feasible worker."""
 
 
 @attrs.frozen
 class LeastLoadedPolicy(Policy):
-    """The worker with the largest share free."""
+    """Picks the worker with the lowest load."""
 
 
 @attrs.frozen
 class BestFitPolicy(Policy):
-    """The worker that is left with the least free."""
+    """Picks the worker with the highest load."""
 
 
 @attrs.frozen
 class InterferencePolicy(Policy):
-    """The worker where services and batch slow each other least.
+    """Picks the worker where services and batch slow each other least.
 
     Parameters
     ----------
     load_weight : float
-        How much a worker's load counts beside predicted slowdown.
+        Weight of a worker's load relative to the predicted slowdown.
     explore_share : float
-        Share of batch placements made at random, to learn.
+        Probability that a candidate gets a random score, so that samples
+        of all combinations are gathered.
     throttle_ratio : float
         Service latency over target at which batch is throttled.
     evict_ratio : float
@@ -75,7 +77,7 @@
 
 
 def make_policy(kind: str, reader: SectionReader) -> Policy:
-    """Make a policy from the keys of its section."""
+    """Return the policy of a kind, with the settings of its section."""
     policy_type = POLICY_KINDS[kind]
     keys = {
         field.name: reader.get_float(field.name, field.default, 0)
@@ -99,7 +101,7 @@
 
 
 def compute_load(candidate: Candidate) -> float:
-    """Return the largest used share over processors and memory."""
+    """Return the larger of the used shares of processors and memory."""
     capacity = candidate.capacity
     cpu = 1 - candidate.free.cpu_millicores / max(1, capacity.cpu_millicores)
     memory = 1 - candidate.free.memory_mb / max(1, capacity.memory_mb)
@@ -108,12 +110,13 @@
 
 @attrs.define
 class InterferenceModel:
-    """Learned slowdown of a service by a batch class, with forgetting.
+    """Learned slowdown of services by batch classes.
 
-    One weight per (service, batch class) is the slowdown that one
-    neighbour of the class adds. A sample is credited to what ran
-    together when it was measured, by normalized least mean squares,
-    so that a class is not blamed for its neighbours.
+    The weight of a service and a batch class is the slowdown that each
+    task of the class adds. A sample is attributed to the tasks that ran at
+    the time of its measurement by normalized least mean squares, so that
+    a class does not get the slowdown of its neighbours. Sample counts
+    decay by ``forget``.
     """
 
     prior: float = 0.05
@@ -128,7 +131,11 @@
     shared_sums: dict[str, tuple[float, float]] = attrs.field(factory=dict)
 
     def get_weight(self, service: str, batch_class: str) -> float:
-        """Return the slowdown, shrunk to the prior where data is thin."""
+        """Return the slowdown that one task of a batch class adds.
+
+        Own and shared samples are averaged by their counts and shrunk towards
+        the prior while there are few.
+        """
         key = f'{service}|{batch_class}'
         count = self.sample_counts.get(key, 0.0)
         learned = self.weights.get(key, self.prior)
@@ -139,46 +146,55 @@
     def take_shared(
         self, source: str, entries: t.Iterable[tuple[str, float, float]]
     ) -> int:
-        """Take what another instance has learned, in place of its last.
+        """Store the weights that another instance shares.
+
+        They replace its earlier weights for the same keys.
 
-        Returns how many entries are none that could be learned: less than
-        no sample would leave nothing to divide by.
+        Returns the number of rejected entries. Out of range values are
+        rejected because a negative sample count could make the sum of the
+        counts, which weights are divided by, zero.
         """
-        known = self.shared.setdefault(source, {})
-        odd_count = 0
+        source_weights = self.shared.setdefault(source, {})
+        rejected_count = 0
         for key, weight, count in entries:
-            is_weight = 0 <= weight <= _MOST_WEIGHT
-            if not is_weight or not 0 <= count <= _MOST_SAMPLES:
-                odd_count += 1
+            is_valid_weight = 0 <= weight <= _MAX_SHARED_WEIGHT
+            if not is_valid_weight or not 0 <= count <= _MAX_SHARED_SAMPLES:
+                rejected_count += 1
                 continue
-            old_weight, old_count = known.get(key, (0.0, 0.0))
-            total, counted = self.shared_sums.get(key, (0.0, 0.0))
+            old_weight, old_count = source_weights.get(key, (0.0, 0.0))
+            total, total_count = self.shared_sums.get(key, (0.0, 0.0))
             self.shared_sums[key] = (
                 total - old_weight * old_count + weight * count,
-                counted - old_count + count,
+                total_count - old_count + count,
             )
-            known[key] = (weight, count)
-        return odd_count
+            source_weights[key] = (weight, count)
+        return rejected_count
 
     def drop_shared(self, source: str) -> None:
-        """Forget what an instance that has ended had learned."""
-        known = self.shared.pop(source, {})
-        for key, (weight, count) in known.items():
-            total, counted = self.shared_sums[key]
-            self.shared_sums[key] = (total - weight * count, counted - count)
+        """Remove the weights shared by an instance that has ended."""
+        source_weights = self.shared.pop(source, {})
+        for key, (weight, count) in source_weights.items():
+            total, total_count = self.shared_sums[key]
+            self.shared_sums[key] = (
+                total - weight * count,
+                total_count - count,
+            )
 
     def iter_classes(self) -> list[str]:
-        """Return the batch classes that anything is known of."""
+        """Return the batch classes that have own or shared weights."""
         keys = {*self.weights, *self.shared_sums}
-        return sorted({key.partition('|')[2] for key in keys})[:_CLASS_LIMIT]
+        return sorted({key.partition('|')[2] for key in keys})[:_MAX_CLASSES]
 
     def iter_learned(self) -> t.Iterator[tuple[str, float, float]]:
-        """Iterate over this instance's own weights and their counts."""
+        """Yield the keys, weights and sample counts of this instance."""
         for key, count in self.sample_counts.items():
             yield key, self.weights[key], count
 
     def predict(self, service: str, batch: t.Mapping[str, int]) -> float:
-        """Return the expected slowdown, 1.0 meaning none."""
+        """Return the expected slowdown factor of a service, 1.0 meaning none.
+
+        ``batch`` gives the number of tasks beside the service by batch class.
+        """
         return 1 + sum(
             self.get_weight(service, name) * count
             for name, count in batch.items()
@@ -187,7 +203,10 @@
     def learn(
         self, service: str, batch: t.Mapping[str, int], slowdown: float
     ) -> None:
-        """Credit one measured slowdown to the classes that ran then."""
+        """Update the weights with one measured slowdown of a service.
+
+        ``batch`` gives the number of tasks that ran then by batch class.
+        """
         norm = sum(count * count for count in batch.values())
         if not norm:
             return
@@ -215,7 +234,7 @@
     model: InterferenceModel,
     source: random.Random,
 ) -> float:
-    """Return how little a policy likes a candidate; the lowest wins."""
+    """Return a policy's score of a candidate; the lowest score wins."""
     raise NotImplementedError(type(policy))
 
 
@@ -279,7 +298,7 @@
     model: InterferenceModel,
     source: random.Random,
 ) -> Candidate | None:
-    """Return the candidate that the policy likes best, or nothing."""
+    """Return the candidate with the lowest score, if there is any."""
     if not candidates:
         return None
     return min(
--- a/src/tulippin/records.py
+++ b/src/tulippin/records.py
@@ -1,4 +1,4 @@
-"""Durable records: what a session's journal keeps for its units."""
+"""Durable records that a session writes to its journal for its units."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class TaskRef:
-    """One attempt at one task, and the range that is its home."""
+    """Reference to one attempt at a task, with the job's home range."""
 
     job_id: str
     index: int
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class JobAccepted:
-    """A job is taken on; it will be run."""
+    """A job was accepted."""
 
     spec: JobSpec
     digest: str
@@ -33,21 +33,21 @@
 
 @attrs.frozen
 class JobCancelled:
-    """A caller withdrew a job."""
+    """A job was cancelled by a caller."""
 
     job_id: str
 
 
 @attrs.frozen
 class JobForgotten:
-    """A finished job's row has passed its retention."""
+    """A finished job was removed after its retention."""
 
     job_id: str
 
 
 @attrs.frozen
 class TaskAssigned:
-    """A home gave an attempt to a cell, for that epoch of the cell only."""
+    """A home assigned an attempt to a cell, for one epoch of the cell."""
 
     job_id: str
     index: int
@@ -58,7 +58,11 @@
 
 @attrs.frozen
 class TaskReturned:
-    """An attempt came back; its checkpoint and the next attempt are one."""
+    """An attempt ended and was returned to its home.
+
+    Its outcome and its checkpoint are recorded together, so that the next
+    attempt starts from that checkpoint.
+    """
 
     job_id: str
     index: int
@@ -69,7 +73,7 @@
 
 @attrs.frozen
 class AttemptPlaced:
-    """A cell gave an attempt to a worker and reserved room for it."""
+    """A cell placed an attempt on a worker and reserved capacity for it."""
 
     task: TaskRef
     spec: JobSpec
@@ -82,7 +86,7 @@
 
 @attrs.frozen
 class AttemptEnded:
-    """An attempt no longer runs and will never run again."""
+    """An attempt ended or was lost; it cannot run any more."""
 
     task_id: str
     attempt: int
@@ -92,7 +96,7 @@
 
 @attrs.frozen
 class AttemptForgotten:
-    """The home has the outcome of an attempt; the cell may drop it."""
+    """A cell removed an ended attempt whose outcome its home has recorded."""
 
     task_id: str
     attempt: int
@@ -100,10 +104,10 @@
 
 @attrs.frozen
 class RequestOpened:
-    """A non-repeatable request is about to be sent, once ever.
+    """A non-repeatable request is about to be sent for the only time.
 
-    ``ticket`` tells one opening of an id from another in the same
-    session: only the ticket that opened it may send it.
+    ``ticket`` distinguishes several openings of one id in a session: only
+    the ticket of this opening may send the request.
     """
 
     request_id: str
@@ -114,7 +118,7 @@
 
 @attrs.frozen
 class RequestClosed:
-    """How a non-repeatable request ended."""
+    """A non-repeatable request ended with an outcome."""
 
     request_id: str
     outcome: OutcomeKind
@@ -124,7 +128,7 @@
 
 @attrs.frozen
 class RequestForgotten:
-    """A request's row has passed its retention."""
+    """A request was removed after its retention."""
 
     request_id: str
 
@@ -146,7 +150,7 @@
 
 @attrs.frozen
 class UnitRecord:
-    """A record with the unit and epoch that it belongs to."""
+    """A record with its unit and the epoch of the unit's owner."""
 
     unit: str
     epoch: int
--- a/src/tulippin/stats.py
+++ b/src/tulippin/stats.py
@@ -1,4 +1,8 @@
-"""How each policy fared: merged histograms, throughput and evictions."""
+"""Statistics of a trial, and the comparison of its policies.
+
+Each instance counts by policy and by window. The instance that is asked for
+a comparison merges the reports of all instances.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +18,12 @@
 
 _MAX_WINDOWS: t.Final = 5000
 _MIN_PAIRS: t.Final = 6
-_CONFIDENCE_Z: t.Final = 1.96
+_CONFIDENCE_Z_SCORE: t.Final = 1.96
 
 
 @attrs.define
 class WindowStats:
-    """One window of one cell under one policy."""
+    """Counts of one window of one cell under one policy."""
 
     cell: str
     index: int
@@ -33,7 +37,7 @@
 
 @attrs.define
 class PolicyStats:
-    """Counts of one policy; the histogram is encoded when sent."""
+    """Counts of one policy, with its latency histogram in microseconds."""
 
     request_count: int = 0
     over_target_count: int = 0
@@ -47,7 +51,10 @@
 
 @attrs.frozen
 class PolicyReport:
-    """One instance's figures of one policy, as sent to a peer."""
+    """One instance's counts of one policy, as sent to a peer.
+
+    ``histogram`` is the encoded latency histogram.
+    """
 
     policy: str
     request_count: int
@@ -62,7 +69,7 @@
 
 @attrs.frozen
 class TrialReport:
-    """One instance's part of a comparison."""
+    """One instance's counts, as sent to a peer."""
 
     policies: tuple[PolicyReport, ...]
     windows: tuple[WindowStats, ...]
@@ -71,20 +78,23 @@
 
 @attrs.define
 class TrialStats:
-    """What one instance counted, by policy and by window."""
+    """Counts of one instance, by policy and by window."""
 
     policies: dict[str, PolicyStats] = attrs.field(factory=dict)
     windows: dict[str, WindowStats] = attrs.field(factory=dict)
     stopped: set[str] = attrs.field(factory=set)
 
     def get_policy(self, policy: str) -> PolicyStats:
-        """Return the counts of a policy, made at its first use."""
+        """Return the counts of a policy, created on first use."""
         if policy not in self.policies:
             self.policies[policy] = PolicyStats()
         return self.policies[policy]
 
     def get_window(self, cell: str, index: int, policy: str) -> WindowStats:
-        """Return the counts of a window, made at its first use."""
+        """Return the counts of a window, created on first use.
+
+        The oldest window is dropped when there are too many.
+        """
         key = f'{cell}|{index}|{policy}'
         if key not in self.windows:
             if len(self.windows) >= _MAX_WINDOWS:
@@ -93,7 +103,7 @@
         return self.windows[key]
 
     def make_report(self) -> TrialReport:
-        """Return the counts in the form that peers exchange."""
+        """Return the counts as a report for a peer."""
         reports = tuple(
             PolicyReport(
                 name,
@@ -165,14 +175,17 @@
 def merge_reports(
     bodies: t.Iterable[str], missing: t.Sequence[str], bundle: Bundle | None
 ) -> Comparison:
-    """Merge the parts of all instances into one comparison."""
+    """Merge the encoded reports of all instances into one comparison.
+
+    ``missing`` names the instances whose reports are absent.
+    """
     reports = [codec_json.decode(body, TrialReport) for body in bodies]
     names = sorted(
         {part.policy for report in reports for part in report.policies}
     )
     rows = tuple(_merge_policy(name, reports) for name in names)
     if bundle is not None:
-        rows = _weigh(rows, bundle)
+        rows = _add_weighted_costs(rows, bundle)
     windows = _merge_windows(reports)
     order = list(bundle.trial.policies) if bundle else names
     differences = _compare_pairs(windows, order)
@@ -205,19 +218,19 @@
     )
 
 
-def _weigh(
+def _add_weighted_costs(
     rows: t.Sequence[PolicyRow], bundle: Bundle
 ) -> tuple[PolicyRow, ...]:
-    """Set each policy's cost by what the users weigh."""
+    """Return the rows with their costs by the weights of the bundle."""
     best_p99_ms = min((row.p99_ms for row in rows if row.p99_ms), default=0.0)
     most_done = max((row.done_count for row in rows), default=0)
-    weighed = []
+    weighted_rows = []
     for row in rows:
         tail = row.p99_ms / best_p99_ms if best_p99_ms else 1.0
         work = most_done / max(1, row.done_count) if most_done else 1.0
         cost = bundle.tail_weight * tail + bundle.throughput_weight * work
-        weighed.append(attrs.evolve(row, weighted_cost=round(cost, 3)))
-    return tuple(weighed)
+        weighted_rows.append(attrs.evolve(row, weighted_cost=round(cost, 3)))
+    return tuple(weighted_rows)
 
 
 def _merge_windows(reports: t.Sequence[TrialReport]) -> list[WindowStats]:
@@ -243,20 +256,20 @@
     return window.latency_sum_ms / window.request_count
 
 
-def _get_over_target(window: WindowStats) -> float | None:
+def _get_over_target_share(window: WindowStats) -> float | None:
     if not window.request_count:
         return None
     return window.over_target_count / window.request_count
 
 
-def _get_done(window: WindowStats) -> float | None:
+def _get_done_count(window: WindowStats) -> float | None:
     return float(window.done_count)
 
 
 _MEASURES: t.Final = (
     ('service_latency_ms', _get_mean_latency),
-    ('over_target_share', _get_over_target),
-    ('batch_done', _get_done),
+    ('over_target_share', _get_over_target_share),
+    ('batch_done', _get_done_count),
 )
 
 
@@ -283,23 +296,29 @@
     first: str,
     second: str,
 ) -> PairedDifference:
-    gaps = []
+    differences = []
     for block in blocks.values():
         if first not in block or second not in block:
             continue
         left, right = getter(block[first]), getter(block[second])
         if left is not None and right is not None:
-            gaps.append(left - right)
-    mean = statistics.fmean(gaps) if gaps else 0.0
-    half = math.inf
-    if len(gaps) > 1:
-        half = _CONFIDENCE_Z * statistics.stdev(gaps) / math.sqrt(len(gaps))
-    decided = len(gaps) >= _MIN_PAIRS and abs(mean) > half
-    low, high = (mean - half, mean + half) if gaps else (0.0, 0.0)
-    if math.isinf(half):
+            differences.append(left - right)
+    mean = statistics.fmean(differences) if differences else 0.0
+    half_width = math.inf
+    if len(differences) > 1:
+        half_width = (
+            _CONFIDENCE_Z_SCORE
+            * statistics.stdev(differences)
+            / math.sqrt(len(differences))
+        )
+    decided = len(differences) >= _MIN_PAIRS and abs(mean) > half_width
+    low, high = (
+        (mean - half_width, mean + half_width) if differences else (0.0, 0.0)
+    )
+    if math.isinf(half_width):
         low = high = mean
     return PairedDifference(
-        measure, first, second, len(gaps), mean, low, high, decided
+        measure, first, second, len(differences), mean, low, high, decided
     )
 
 
@@ -308,11 +327,14 @@
 ) -> str:
     if stopped:
         return f'guard-rail tripped: {", ".join(sorted(stopped))}'
-    decided = [one for one in differences if one.decided]
+    decided = [difference for difference in differences if difference.decided]
     if not decided:
         return 'not yet decided'
     parts = []
-    for one in decided:
-        word = 'lower' if one.mean < 0 else 'higher'
-        parts.append(f'{one.measure}: {one.first} {word} than {one.second}')
+    for difference in decided:
+        relation = 'lower' if difference.mean < 0 else 'higher'
+        parts.append(
+            f'{difference.measure}: {difference.first} {relation} '
+            f'than {difference.second}'
+        )
     return f'decided: {"; ".join(parts)}'
--- a/src/tulippin/trial.py
+++ b/src/tulippin/trial.py
@@ -1,4 +1,4 @@
-"""The trial: which policy a cell follows at a moment."""
+"""Schedule of a trial: the policy that a cell uses at a given time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 @attrs.frozen
 class Window:
-    """One window of a cell's schedule."""
+    """One window of a cell's schedule.
+
+    While it is washing out, the previous policy's placements still have an
+    effect, and requests are not counted.
+    """
 
     index: int
     policy_name: str
@@ -23,18 +27,18 @@
 
 
 def get_window(bundle: Bundle, cell: str, wall_ms: int) -> Window:
-    """Return the window that a cell is in.
+    """Return the window of a cell at a time.
 
-    Windows come in blocks of one each policy, shuffled by the seed, so
-    that every policy sees each stretch of the same live load.
+    Each block has one window for each policy, in an order that depends on
+    the seed, so that all policies meet a similar load.
     """
     trial = bundle.trial
     window_ms = trial.window_s * 1000
     index, elapsed_ms = divmod(wall_ms, window_ms)
-    block, place = divmod(index, len(trial.policies))
+    block, position = divmod(index, len(trial.policies))
     order = list(trial.policies)
     random.Random(f'{trial.seed}|{cell}|{block}').shuffle(order)
-    return Window(index, order[place], elapsed_ms < trial.wash_out_s * 1000)
+    return Window(index, order[position], elapsed_ms < trial.wash_out_s * 1000)
 
 
 def get_policy(
@@ -43,16 +47,18 @@
     wall_ms: int,
     stopped: t.Collection[str] = (),
 ) -> tuple[str, Policy, Window]:
-    """Return the name, the policy and the window of a cell.
+    """Return the policy name, the policy and the window of a cell.
 
-    ``stopped`` names policies that the guard-rail took out; the first
-    policy of the trial that still runs stands in for them.
+    ``stopped`` holds the names of policies that the guard-rail stopped.
+    They are replaced by the first policy of the trial that is not stopped.
     """
     if bundle is None:
         return DEFAULT_POLICY, LeastLoadedPolicy(), Window(0, '', False)
     window = get_window(bundle, cell, wall_ms)
     name = window.policy_name
     if name in stopped:
-        running = [one for one in bundle.trial.policies if one not in stopped]
+        running = [
+            policy for policy in bundle.trial.policies if policy not in stopped
+        ]
         name = running[0] if running else bundle.trial.policies[0]
     return name, bundle.policies[name], window
--- a/src/tulippin/types.py
+++ b/src/tulippin/types.py
@@ -1,4 +1,4 @@
-"""Plain data shared by every module: sizes, jobs, workers and units."""
+"""Value types that most modules share: sizes, jobs, workers and units."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 class TaskOutcome(enum.Enum):
     """How one attempt at a task ended.
 
-    ``REFUSED`` means that no worker of the cell had room, so the attempt
-    never started. ``LOST`` means that its worker's lease lapsed.
+    ``REFUSED`` means that the cell did not place the attempt, usually for
+    lack of free capacity, so it never started. ``LOST`` means that its
+    worker's lease lapsed or that the worker no longer has it.
     """
 
     DONE = 'done'
@@ -36,7 +37,8 @@
 class OutcomeKind(enum.Enum):
     """How a caller's request ended.
 
-    ``NOT_RUN`` is proved; ``UNKNOWN`` means sent and not answered.
+    ``NOT_RUN`` means that the request is proved not to have run;
+    ``UNKNOWN`` means that it may have run.
     """
 
     ANSWERED = 'answered'
@@ -46,7 +48,7 @@
 
 
 class WorkerStanding(enum.Enum):
-    """What the platform's list says of a worker."""
+    """State of a worker in the platform's list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -79,7 +81,7 @@
         )
 
     def subtract(self, other: Resources) -> Resources:
-        """Return what is left; a part may be below zero."""
+        """Return the difference of the two amounts; it may be negative."""
         return Resources(
             self.cpu_millicores - other.cpu_millicores,
             self.memory_mb - other.memory_mb,
@@ -87,7 +89,7 @@
         )
 
     def fits(self, other: Resources) -> bool:
-        """Tell whether ``other`` fits into this amount."""
+        """Return whether ``other`` fits into this amount."""
         return (
             other.cpu_millicores <= self.cpu_millicores
             and other.memory_mb <= self.memory_mb
@@ -95,7 +97,7 @@
         )
 
     def largest(self, other: Resources) -> Resources:
-        """Return the larger of the two, part by part."""
+        """Return the maximum of the two amounts for each resource."""
         return Resources(
             max(self.cpu_millicores, other.cpu_millicores),
             max(self.memory_mb, other.memory_mb),
@@ -144,7 +146,7 @@
 
 @attrs.frozen
 class WorkerInfo:
-    """A worker as the platform's lagging list gives it."""
+    """A worker as the platform lists it; the list may be out of date."""
 
     worker_id: str
     address: str
@@ -159,10 +161,10 @@
 
 @attrs.frozen
 class Source:
-    """Where a unit's durable state may be found: a session and its epoch.
+    """A session that may hold a unit's durable state, and its epoch.
 
-    ``base`` is the key of the object from which that session began, if
-    it got the unit at a planned hand-over.
+    ``base`` is the key of the object with the state that the session
+    started from, if it got the unit by a planned hand-over.
     """
 
     session_id: str
@@ -179,12 +181,12 @@
     session_id : str
         The owner.
     epoch : int
-        Raised at each change of owner; a lower one is refused anywhere.
+        Incremented at each change of owner; lower ones are refused everywhere.
     base : str
         Key of the object with the unit's state at a planned hand-over;
         empty after a takeover.
     previous : tuple of Source
-        Where to look for the state after a takeover, latest first.
+        Where the state may be after a takeover, latest first.
     """
 
     session_id: str
@@ -195,7 +197,7 @@
 
 @attrs.frozen
 class Ownership:
-    """The one row that says who owns which unit."""
+    """The row of the table that maps units to their owners."""
 
     units: dict[str, Holder] = attrs.field(factory=dict)
     token: str = ''
@@ -203,10 +205,10 @@
 
 @attrs.frozen
 class LeaseRow:
-    """A session's lease as it stands in the table.
+    """A session's lease as stored in the table.
 
-    ``renewal_count`` rises at each renewal; observers time its changes
-    by their own clocks and never read the holder's.
+    ``renewal_count`` is incremented at each renewal. Observers time its
+    changes by their own clocks and do not rely on the holder's clock.
     """
 
     session_id: str
@@ -231,5 +233,5 @@
 
 
 def is_cell(unit: str) -> bool:
-    """Tell whether a unit is a cell rather than a hash range."""
+    """Return whether a unit is a cell rather than a hash range."""
     return unit.startswith('cell/')
--- a/src/tulippin/worker_types.py
+++ b/src/tulippin/worker_types.py
@@ -1,4 +1,4 @@
-"""What an instance tells a worker and what the worker reports back."""
+"""Messages between an instance and its workers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class StartTask:
-    """Start one attempt, from a checkpoint where one is given."""
+    """Order to start an attempt, from its checkpoint if there is one."""
 
     task_id: str
     attempt: int
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class AttemptKey:
-    """Names one attempt on a worker."""
+    """Key of one attempt on a worker."""
 
     task_id: str
     attempt: int
@@ -42,14 +42,14 @@
 
 @attrs.frozen
 class WorkerSync:
-    """One message to a worker: leases, starts, stops, in that order.
+    """A message to a worker: leases, starts and stops, in that order.
 
     A worker refuses a lower epoch, and within one epoch a sequence that
-    is not above the last. ``lease_until_ms`` is a time of the worker's
-    own clock, taken from its last report, so that a delayed sync never
-    extends a lease beyond what its sender reckons with. Starts are for
-    the worker's ``incarnation`` only: one that has restarted refuses
-    them, for it may have run them before.
+    is not higher than the previous one. ``lease_until_ms`` is a time of
+    the worker's clock, based on its last report, so that a delayed sync
+    never extends a lease beyond the time that the sender assumes. Starts
+    are valid for the worker's ``incarnation`` only: a restarted worker
+    refuses them, because it may have run them before.
     """
 
     worker_id: str
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class RunReport:
-    """One attempt in a worker's report."""
+    """State of one attempt in a worker's report."""
 
     task_id: str
     attempt: int
@@ -78,7 +78,10 @@
 
 @attrs.frozen
 class UsageSample:
-    """Use of one attempt, with the age of the measurement."""
+    """Measured use and slowdown of one attempt.
+
+    The age of the measurement is ``usage_age_ms`` of the report.
+    """
 
     task_id: str
     attempt: int
@@ -88,7 +91,11 @@
 
 @attrs.frozen
 class WorkerReport:
-    """A worker's reply to a sync: all it holds, and a lagging usage."""
+    """A worker's reply to a sync.
+
+    It lists all attempts on the worker. The usage samples are older, by
+    ``usage_age_ms``.
+    """
 
     worker_id: str
     incarnation: str
--- a/tests/tulippin/test_policies.py
+++ b/tests/tulippin/test_policies.py
@@ -1,4 +1,4 @@
-"""Policies, learning, the trial's schedule and the comparison."""
+"""Policies, learned models, the schedule of trials and the comparison."""
 
 import random
 
@@ -58,12 +58,12 @@
     assert chosen == {'one', 'two'}
 
 
-def test_nothing_is_chosen_from_nothing():
+def test_no_candidate_is_chosen_without_candidates():
     model = InterferenceModel()
     assert rank(RandomPolicy(), BATCH, (), model, random.Random(1)) is None
 
 
-def test_interference_keeps_a_harmful_class_away_from_a_service():
+def test_interference_policy_separates_harmful_batch_from_services():
     model = InterferenceModel()
     for _ in range(50):
         model.learn('alerts', {'noisy': 1}, 1.9)
@@ -80,7 +80,7 @@
     assert choose(policy, SERVICE, quiet, loud, model=model) == 'quiet'
 
 
-def test_a_class_is_not_blamed_for_its_neighbours():
+def test_slowdown_is_attributed_to_the_right_class():
     model = InterferenceModel()
     source = random.Random(2)
     for _ in range(600):
@@ -91,7 +91,7 @@
     assert model.get_weight('alerts', 'calm') < 0.1
 
 
-def test_thin_data_is_shrunk_to_the_prior():
+def test_weight_with_few_samples_is_shrunk_to_the_prior():
     model = InterferenceModel(prior=0.05)
     model.learn('alerts', {'noisy': 1}, 5.0)
     assert model.get_weight('alerts', 'noisy') < 1.0
@@ -113,8 +113,10 @@
 def test_every_block_gives_each_policy_one_window():
     for block in range(30):
         names = [
-            get_window(BUNDLE, 'cell', (block * 3 + place) * 10000).policy_name
-            for place in range(3)
+            get_window(
+                BUNDLE, 'cell', (block * 3 + position) * 10000
+            ).policy_name
+            for position in range(3)
         ]
         assert sorted(names) == ['a', 'b', 'c']
 
@@ -144,9 +146,9 @@
 def make_stats(gap_ms, windows, seed=4):
     stats = TrialStats()
     source = random.Random(seed)
-    for index in range(windows):
-        for place, policy in enumerate(('a', 'b')):
-            window = stats.get_window('cell', index * 3 + place, policy)
+    for block in range(windows):
+        for position, policy in enumerate(('a', 'b')):
+            window = stats.get_window('cell', block * 3 + position, policy)
             latency = 10 + source.gauss(0, 1) + gap_ms * (policy == 'b')
             window.request_count = 10
             window.latency_sum_ms = latency * 10
@@ -160,9 +162,10 @@
 def compare(gap_ms, windows):
     comparison = merge_reports([make_stats(gap_ms, windows)], (), BUNDLE)
     return next(
-        one
-        for one in comparison.differences
-        if one.measure == 'service_latency_ms' and one.second == 'b'
+        difference
+        for difference in comparison.differences
+        if difference.measure == 'service_latency_ms'
+        and difference.second == 'b'
     )
 
 
@@ -171,8 +174,8 @@
     assert clear.decided
     assert clear.low <= -5 + 1
     assert clear.high < 0
-    even = compare(0, 30)
-    assert not even.decided
+    equal = compare(0, 30)
+    assert not equal.decided
     few = compare(5, 3)
     assert not few.decided
 
@@ -193,7 +196,7 @@
     assert costs == {'a': 4.0, 'b': 1.0}
 
 
-def test_parts_of_instances_are_merged():
+def test_reports_of_instances_are_merged():
     part = make_stats(5, 10)
     one = merge_reports([part], (), BUNDLE)
     two = merge_reports([part, part], ('instance-3',), BUNDLE)
--- a/tests/tulippin/test_requests.py
+++ b/tests/tulippin/test_requests.py
@@ -1,4 +1,4 @@
-"""Single decisions about service requests."""
+"""Decisions of one instance about service requests, step by step."""
 
 import pytest
 
@@ -109,8 +109,8 @@
     assert not instance.take(fx.CallEndpoint)
 
 
-def tell_of_cell(instance, services):
-    """Let a peer tell of a cell of its own."""
+def report_cell(instance, services):
+    """Let a peer report a cell that serves the given services."""
     row = LeaseRow('peer:1', 'peer', 'domain', '127.0.0.1:1', 1)
     peer = PeerState(row, 0, first_seen_ms=instance.now_ms)
     instance.state.peers['peer:1'] = peer
@@ -125,11 +125,11 @@
 
 
 @pytest.mark.parametrize('repeatable', [True, False])
-def test_request_waits_while_its_only_cell_changes_hands(instance, repeatable):
-    """Its old owner tells of it no more, its new one not yet."""
+def test_request_waits_while_its_only_cell_changes_owners(instance, repeatable):
+    """The old owner no longer reports the cell, the new one not yet."""
     cells = dict(instance.state.cells)
-    tell_of_cell(instance, ['alerts'])
-    tell_of_cell(instance, [])
+    report_cell(instance, ['alerts'])
+    report_cell(instance, [])
     instance.state.cells.clear()
     ask(instance, 5, repeatable)
     instance.commit_all()
@@ -142,7 +142,7 @@
     assert get_answers(instance) == [(5, 'answered', '')]
 
 
-def test_request_waits_for_a_cell_that_was_given_away(instance):
+def test_request_waits_for_a_cell_that_was_handed_over(instance):
     instance.tick(600)
     instance.state.cells.clear()
     ask(instance, 5, repeatable=True)
@@ -150,8 +150,10 @@
     assert get_answers(instance) == []
 
 
-def test_request_whose_cell_stays_away_is_told_so_in_time(instance):
-    tell_of_cell(instance, ['alerts'])
+def test_request_whose_cell_does_not_return_is_refused_at_its_deadline(
+    instance,
+):
+    report_cell(instance, ['alerts'])
     instance.state.cells.clear()
     ask(instance, 5, repeatable=True, wait_ms=300)
     instance.tick(200)
@@ -160,10 +162,10 @@
     assert get_answers(instance) == [(5, 'not_run', 'deadline')]
 
 
-def test_service_that_nobody_tells_of_is_refused_at_once(instance):
+def test_request_for_an_unreported_service_is_refused_at_once(instance):
     instance.state.cells.clear()
     instance.tick(9000)
-    tell_of_cell(instance, ['other'])
+    report_cell(instance, ['other'])
     ask(instance, 5, repeatable=True)
     assert get_answers(instance) == [(5, 'not_run', 'no_endpoint')]
 
@@ -189,7 +191,7 @@
 
 
 def test_id_opened_again_is_sent_once(instance):
-    """A first opening, given up, must not send the second's ticket."""
+    """Committing an expired opening must not send the later ticket."""
     ask(instance, 5, wait_ms=100)
     instance.tick(150)
     assert get_answers(instance) == [(5, 'not_run', 'deadline')]
@@ -215,7 +217,7 @@
     assert get_answers(instance) == [(5, 'answered', '')]
 
 
-def test_refusal_after_a_broken_try_is_not_called_not_run(instance):
+def test_refusal_after_a_broken_try_is_not_reported_as_not_run(instance):
     ask(instance, 5, repeatable=True)
     reply(instance, instance.take(fx.CallEndpoint)[0], OutcomeKind.UNKNOWN)
     instance.state.cells['cell/cell-0'].endpoints.clear()
@@ -315,7 +317,7 @@
     assert instance.take(fx.Leave)
 
 
-def test_ids_are_forgotten_after_their_retention(instance):
+def test_ids_are_removed_after_their_retention(instance):
     ask(instance, 5)
     instance.commit_all()
     reply(instance, instance.take(fx.CallEndpoint)[0])
@@ -331,7 +333,7 @@
     assert not requests
 
 
-def test_paused_instance_does_nothing_until_the_table_speaks(instance):
+def test_paused_instance_does_nothing_until_the_table_confirms_it(instance):
     instance.effects.clear()
     instance.tick(8000, renew=False)
     assert instance.state.session.standing.value == 'suspect'
--- a/tests/tulippin/test_workers.py
+++ b/tests/tulippin/test_workers.py
@@ -1,4 +1,4 @@
-"""Single decisions about workers and attempts."""
+"""Decisions of one instance about workers and attempts, step by step."""
 
 import pytest
 
@@ -90,7 +90,7 @@
     instance.feed(ev.WorkerFailed, 'worker-0', 1, worker.sync_in_flight)
 
 
-def test_lost_worker_is_given_up_only_after_its_lease(instance):
+def test_attempts_of_a_silent_worker_are_lost_only_after_its_lease(instance):
     submit(instance)
     instance.report(RUNNING)
     lapse_ms = instance.state.cells[CELL].workers['worker-0'].lapse_ms
@@ -105,7 +105,7 @@
     assert instance.state.counters['attempts_lost'] == 2
 
 
-def test_owner_that_stood_still_asks_before_it_gives_a_worker_up(instance):
+def test_paused_owner_syncs_again_before_a_worker_is_lost(instance):
     submit(instance)
     instance.report(RUNNING)
     instance.tick(30000)
@@ -185,7 +185,7 @@
     assert again.outcome is TaskOutcome.REFUSED
 
 
-def test_cancelled_offer_that_never_came_is_refused_for_good(instance):
+def test_offer_that_arrives_after_its_cancellation_is_refused(instance):
     give_home_to_peer(instance)
     task = TaskRef('job', 0, 1, 'range/09')
     cancel = TasksCancelled(CELL, 'range/09', (task,), 1)
@@ -227,7 +227,7 @@
     assert worker.quarantined_until_ms > instance.now_ms
 
 
-def test_poison_job_quarantines_nobody(instance):
+def test_job_that_fails_everywhere_quarantines_no_worker(instance):
     spec = JobSpec('poison', 'team', run_ms=10, max_failures=9)
     submit(instance, spec)
     for attempt in range(1, 8):
