--- a/src/tulippin/_cells.py
+++ b/src/tulippin/_cells.py
@@ -96,7 +96,7 @@
 
 def summarize(context: Context, cell: CellState) -> CellSummary:
     """Return a cell's free capacity, free service slots and batch harm."""
-    free = largest = evictable = Resources()
+    free = largest_free = evictable = Resources()
     services: dict[str, int] = {}
     usable = [
         worker
@@ -105,7 +105,7 @@
     ]
     for worker in usable:
         free = free.add(worker.free)
-        largest = largest.largest(worker.free)
+        largest_free = largest_free.largest(worker.free)
         evictable = evictable.largest(worker.info.capacity)
     for service, endpoints in cell.endpoints.items():
         slots = [
@@ -118,7 +118,7 @@
             services[service] = sum(slots) - queued
     harm = _pressure.summarize_harm(context, usable)
     return CellSummary(
-        cell.unit, cell.epoch, free, largest, evictable, services, harm
+        cell.unit, cell.epoch, free, largest_free, evictable, services, harm
     )
 
 
@@ -134,12 +134,12 @@
             continue
         _workers.tick_cell(context, cell)
         if context.may_act and cell.phase is Phase.ACTIVE:
-            _repeat_reports(context, cell)
+            _resend_reports(context, cell)
             _process_waiting(context, cell)
             _pressure.tick_cell(context, cell)
 
 
-def _repeat_reports(context: Context, cell: CellState) -> None:
+def _resend_reports(context: Context, cell: CellState) -> None:
     for task_id, due_ms in list(cell.report_due.items()):
         if context.now_ms < due_ms:
             continue
--- a/src/tulippin/_placing.py
+++ b/src/tulippin/_placing.py
@@ -4,7 +4,7 @@
 
 from tulippin import _worker_state
 from tulippin._context import Context
-from tulippin.policies import Candidate, rank
+from tulippin.policies import Candidate, choose_candidate
 from tulippin.state import CellState, WorkerState
 from tulippin.trial import get_policy
 from tulippin.types import URGENT_PRIORITY, JobKind, JobSpec, Resources
@@ -34,7 +34,9 @@
     policy_name, policy, _ = get_policy(
         state.bundle, name, state.wall_ms, state.stats.stopped
     )
-    chosen = rank(policy, spec, candidates, state.model, state.random)
+    chosen = choose_candidate(
+        policy, spec, candidates, state.model, state.random
+    )
     if chosen is None:
         return None
     return cell.workers[chosen.worker_id], reserved, policy_name
@@ -121,7 +123,7 @@
         if entry is not None:
             free = free.add(entry.reserved)
     victims: list[str] = []
-    for task_id in iter_evictable(cell, worker, spec.priority):
+    for task_id in find_evictable(cell, worker, spec.priority):
         if free.fits(needed):
             break
         free = free.add(cell.ledger.attempts[task_id].reserved)
@@ -129,7 +131,7 @@
     return victims if free.fits(needed) else None
 
 
-def iter_evictable(
+def find_evictable(
     cell: CellState, worker: WorkerState, priority: int
 ) -> list[str]:
     """Return a worker's evictable batch attempts limit a priority.
--- a/src/tulippin/_pressure.py
+++ b/src/tulippin/_pressure.py
@@ -12,7 +12,7 @@
 from tulippin import _worker_state
 from tulippin._context import Context
 from tulippin._dispatch import receive
-from tulippin._placing import iter_evictable
+from tulippin._placing import find_evictable
 from tulippin.ledger import AttemptEntry
 from tulippin.messages import ModelShared
 from tulippin.policies import InterferenceModel, InterferencePolicy
@@ -176,7 +176,7 @@
         return
     if worker.pressure < policy.throttle_ratio:
         return
-    victims = iter_evictable(cell, worker, URGENT_PRIORITY)
+    victims = find_evictable(cell, worker, URGENT_PRIORITY)
     if not victims:
         return
     unthrottled = set(victims) - worker.throttled
--- a/src/tulippin/_requests.py
+++ b/src/tulippin/_requests.py
@@ -337,17 +337,19 @@
         return
     ticket.stage = Stage.QUEUED
     queue.append(ticket.ticket)
-    pump(context, cell, service)
+    dispatch_queued(context, cell, service)
 
 
-def pump_worker(context: Context, cell: CellState, worker: WorkerState) -> None:
+def dispatch_to_worker(
+    context: Context, cell: CellState, worker: WorkerState
+) -> None:
     """Send queued requests for the services of a worker."""
     for service, endpoints in list(cell.endpoints.items()):
         if worker.worker_id in endpoints.values():
-            pump(context, cell, service)
+            dispatch_queued(context, cell, service)
 
 
-def pump(context: Context, cell: CellState, service: str) -> None:
+def dispatch_queued(context: Context, cell: CellState, service: str) -> None:
     """Send queued requests of a service while slots are free."""
     queue = cell.queues.get(service)
     if queue is None or cell.phase is not Phase.ACTIVE:
@@ -414,7 +416,7 @@
         observe_request(context, cell, worker, ticket, event)
     _finish(context, ticket, outcome)
     if found is not None:
-        pump_worker(context, cell, worker)
+        dispatch_to_worker(context, cell, worker)
 
 
 # --- outcomes ---------------------------------------------------------------
@@ -526,7 +528,7 @@
     if context.may_serve:
         for cell in context.state.cells.values():
             for service in list(cell.queues):
-                pump(context, cell, service)
+                dispatch_queued(context, cell, service)
 
 
 def _expire(context: Context, ticket: Ticket) -> None:
--- a/src/tulippin/_workers.py
+++ b/src/tulippin/_workers.py
@@ -91,7 +91,7 @@
     for task_id in sorted(worker.attempts):
         entry = cell.ledger.attempts.get(task_id)
         if entry is not None and entry.outcome is None:
-            propose_end(context, cell, entry, TaskOutcome.LOST)
+            record_outcome(context, cell, entry, TaskOutcome.LOST)
     if worker.absent and not worker.attempts:
         worker.next_sync_ms = context.now_ms
 
@@ -232,7 +232,7 @@
         _reconcile(context, cell, worker, event.report)
     elif context.state.session.standing is Standing.DETACHED:
         _remove_ended_endpoints(cell, worker, event.report)
-    _requests.pump_worker(context, cell, worker)
+    _requests.dispatch_to_worker(context, cell, worker)
     if worker.hurry:
         send_sync(context, cell, worker)
 
@@ -309,7 +309,7 @@
         outcome is TaskOutcome.EVICTED
     ):
         outcome = TaskOutcome.CANCELLED
-    propose_end(context, cell, entry, outcome, run.checkpoint)
+    record_outcome(context, cell, entry, outcome, run.checkpoint)
 
 
 def _record_running(
@@ -337,11 +337,11 @@
         return
     restarted = entry.incarnation != worker.incarnation
     if restarted or task_id in worker.started:
-        propose_end(context, cell, entry, TaskOutcome.LOST)
+        record_outcome(context, cell, entry, TaskOutcome.LOST)
     elif worker.stopping.get(task_id) == 'cancelled':
-        propose_end(context, cell, entry, TaskOutcome.CANCELLED)
+        record_outcome(context, cell, entry, TaskOutcome.CANCELLED)
     elif task_id in worker.stopping:
-        propose_end(context, cell, entry, TaskOutcome.EVICTED)
+        record_outcome(context, cell, entry, TaskOutcome.EVICTED)
     else:
         worker.dirty = True
 
@@ -362,7 +362,7 @@
                 _worker_state.remove_endpoint(cell, service, task_id)
 
 
-def propose_end(
+def record_outcome(
     context: Context,
     cell: CellState,
     entry: AttemptEntry,
--- a/src/tulippin/policies.py
+++ b/src/tulippin/policies.py
@@ -144,7 +144,7 @@
         return total / (count + shared_count + self.prior_count)
 
     def take_shared(
-        self, source: str, entries: t.Iterable[tuple[str, float, float]]
+        self, session_id: str, entries: t.Iterable[tuple[str, float, float]]
     ) -> int:
         """Store the weights that another instance shares.
 
@@ -154,7 +154,7 @@
         rejected because a negative sample count could make the sum of the
         counts, which weights are divided by, zero.
         """
-        source_weights = self.shared.setdefault(source, {})
+        source_weights = self.shared.setdefault(session_id, {})
         rejected_count = 0
         for key, weight, count in entries:
             is_valid_weight = 0 <= weight <= _MAX_SHARED_WEIGHT
@@ -170,9 +170,9 @@
             source_weights[key] = (weight, count)
         return rejected_count
 
-    def drop_shared(self, source: str) -> None:
+    def drop_shared(self, session_id: str) -> None:
         """Remove the weights shared by an instance that has ended."""
-        source_weights = self.shared.pop(source, {})
+        source_weights = self.shared.pop(session_id, {})
         for key, (weight, count) in source_weights.items():
             total, total_count = self.shared_sums[key]
             self.shared_sums[key] = (
@@ -232,7 +232,7 @@
     spec: JobSpec,
     candidate: Candidate,
     model: InterferenceModel,
-    source: random.Random,
+    random_source: random.Random,
 ) -> float:
     """Return a policy's score of a candidate; the lowest score wins."""
     raise NotImplementedError(type(policy))
@@ -244,9 +244,9 @@
     spec: JobSpec,
     candidate: Candidate,
     model: InterferenceModel,
-    source: random.Random,
+    random_source: random.Random,
 ) -> float:
-    return source.random()
+    return random_source.random()
 
 
 @score.register
@@ -255,7 +255,7 @@
     spec: JobSpec,
     candidate: Candidate,
     model: InterferenceModel,
-    source: random.Random,
+    random_source: random.Random,
 ) -> float:
     return compute_load(candidate)
 
@@ -266,7 +266,7 @@
     spec: JobSpec,
     candidate: Candidate,
     model: InterferenceModel,
-    source: random.Random,
+    random_source: random.Random,
 ) -> float:
     return -compute_load(candidate)
 
@@ -277,10 +277,10 @@
     spec: JobSpec,
     candidate: Candidate,
     model: InterferenceModel,
-    source: random.Random,
+    random_source: random.Random,
 ) -> float:
-    if source.random() < policy.explore_share:
-        return source.random() * policy.load_weight
+    if random_source.random() < policy.explore_share:
+        return random_source.random() * policy.load_weight
     load = compute_load(candidate) * policy.load_weight
     if spec.kind is JobKind.SERVICE:
         return load + model.predict(spec.job_class, candidate.batch) - 1
@@ -291,17 +291,19 @@
     return load + harm
 
 
-def rank(
+def choose_candidate(
     policy: Policy,
     spec: JobSpec,
     candidates: t.Sequence[Candidate],
     model: InterferenceModel,
-    source: random.Random,
+    random_source: random.Random,
 ) -> Candidate | None:
     """Return the candidate with the lowest score, if there is any."""
     if not candidates:
         return None
     return min(
         candidates,
-        key=lambda candidate: score(policy, spec, candidate, model, source),
+        key=lambda candidate: score(
+            policy, spec, candidate, model, random_source
+        ),
     )
--- a/tests/tulippin/test_policies.py
+++ b/tests/tulippin/test_policies.py
@@ -15,7 +15,7 @@
     InterferencePolicy,
     LeastLoadedPolicy,
     RandomPolicy,
-    rank,
+    choose_candidate,
 )
 from tulippin.sizes import SizeModel
 from tulippin.stats import TrialStats, merge_reports
@@ -41,7 +41,7 @@
 def choose(policy, spec, *candidates, model=None, seed=1):
     source = random.Random(seed)
     model = model or InterferenceModel()
-    return rank(policy, spec, candidates, model, source).worker_id
+    return choose_candidate(policy, spec, candidates, model, source).worker_id
 
 
 def test_least_loaded_and_best_fit_are_opposites():
@@ -60,7 +60,10 @@
 
 def test_no_candidate_is_chosen_without_candidates():
     model = InterferenceModel()
-    assert rank(RandomPolicy(), BATCH, (), model, random.Random(1)) is None
+    assert (
+        choose_candidate(RandomPolicy(), BATCH, (), model, random.Random(1))
+        is None
+    )
 
 
 def test_interference_policy_separates_harmful_batch_from_services():
