--- a/src/tulippin/_observing.py
+++ b/src/tulippin/_observing.py
@@ -77,7 +77,8 @@
     """Stop a policy whose share of requests over target is too high.
 
     The limit is ``guard_rail_ratio`` times the share of the best other
-    policy. Policies with too few requests are not compared, and the last
+    policy, which counts as at least one in ``guard_rail_min_requests``.
+    Policies with too few requests are not compared, and the last
     running policy is never stopped.
     """
     trial = bundle.trial
--- a/src/tulippin/_pressure.py
+++ b/src/tulippin/_pressure.py
@@ -63,8 +63,9 @@
 ) -> dict[str, float]:
     """Return, by batch class, the least harm of one more task on a worker.
 
-    Empty unless the bundle has exactly one policy: while several are on
-    trial, a home's choice among cells must not favour one of them.
+    Empty unless the bundle has exactly one policy and that policy learns
+    interference: while several are on trial, a home's choice among cells
+    must not favour one of them.
     """
     bundle = context.state.bundle
     if bundle is None or len(bundle.policies) > 1 or not workers:
--- a/src/tulippin/_serving.py
+++ b/src/tulippin/_serving.py
@@ -18,8 +18,8 @@
 
     Cells of this instance with a free slot come first. Among the
     candidates, two are drawn at random and the one with more free slots
-    is taken. Cells that were full before are used only if no other is
-    left.
+    is taken. Cells that were full at an earlier try are used only if
+    there is no other.
     """
     service = ticket.request.service
     free_slots = dict(iter_serving(context, service))
--- a/tests/tulippin/test_requests.py
+++ b/tests/tulippin/test_requests.py
@@ -38,18 +38,18 @@
 
 @pytest.fixture
 def instance():
-    one = SingleInstance()
-    one.greet_workers()
-    one.feed(ev.JobRequested, 1, 'submit', 'service', 'team', SERVICE, 'd')
-    one.commit_all()
-    one.tick(200)
-    one.commit_all()
-    one.tick()
-    one.report(RUNNING)
-    one.tick()
-    one.report(RUNNING)
-    one.effects.clear()
-    return one
+    single = SingleInstance()
+    single.greet_workers()
+    single.feed(ev.JobRequested, 1, 'submit', 'service', 'team', SERVICE, 'd')
+    single.commit_all()
+    single.tick(200)
+    single.commit_all()
+    single.tick()
+    single.report(RUNNING)
+    single.tick()
+    single.report(RUNNING)
+    single.effects.clear()
+    return single
 
 
 def ask(instance, call_id, repeatable=False, request_id='r', wait_ms=1000):
@@ -88,7 +88,9 @@
     ask(instance, 5)
     assert not instance.take(fx.CallEndpoint)
     commit = instance.take(fx.CommitJournal)[-1]
-    assert any(isinstance(one.record, RequestOpened) for one in commit.records)
+    assert any(
+        isinstance(entry.record, RequestOpened) for entry in commit.records
+    )
     instance.commit()
     assert len(instance.take(fx.CallEndpoint)) == 1
 
--- a/tests/tulippin/test_workers.py
+++ b/tests/tulippin/test_workers.py
@@ -26,9 +26,9 @@
 
 @pytest.fixture
 def instance():
-    one = SingleInstance()
-    one.greet_workers()
-    return one
+    single = SingleInstance()
+    single.greet_workers()
+    return single
 
 
 def submit(instance, spec=SPEC):
@@ -51,11 +51,11 @@
     while not instance.state.cells[CELL].placing:
         instance.commit()
         instance.tick()
-    assert not any(one.sync.start for one in instance.take(fx.SyncWorker))
+    assert not any(effect.sync.start for effect in instance.take(fx.SyncWorker))
     instance.commit_all()
     instance.report()
     instance.tick()
-    assert any(one.sync.start for one in instance.take(fx.SyncWorker))
+    assert any(effect.sync.start for effect in instance.take(fx.SyncWorker))
 
 
 def test_restarted_worker_gets_no_start_of_an_attempt_that_is_lost(instance):
