--- a/src/tulippin/bundle_store.py
+++ b/src/tulippin/bundle_store.py
@@ -1,4 +1,8 @@
-"""The numbered log of bundles in the table: one winner at each step."""
+"""The numbered log of bundles in the table.
+
+Concurrent changes are serialized by conditions on row versions: one of them
+takes effect and the others raise ``ConflictError``.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +42,7 @@
 
 @attrs.define
 class BundleStore:
-    """Operators' steps on bundles, each a conditional transaction.
+    """Operators' actions on bundles, each a conditional transaction.
 
     Parameters
     ----------
@@ -71,18 +75,18 @@
     async def iter_all(self) -> list[BundleRow]:
         """Return all bundles in the order of their numbers.
 
-        Rows that are none are left out.
+        Unreadable rows are logged and left out.
         """
-        found = []
+        bundles = []
         for key, row in await self.table.scan('bundle/'):
             try:
-                found.append(codec.decode(row.value, BundleRow))
+                bundles.append(codec.decode(row.value, BundleRow))
             except InputError as error:
                 logger.error('row unreadable', key=key, reason=error.message)
-        return found
+        return bundles
 
     async def propose(self, text: str, signature: Signature) -> BundleRow:
-        """Add a checked bundle to the log under the next number."""
+        """Check a bundle and add it to the log under the next number."""
         parse_bundle(text)
         digest = compute_digest(text)
         verify(self.keys, signature, 'propose', 0, digest)
@@ -100,12 +104,12 @@
         return bundle
 
     async def approve(self, number: int, signature: Signature) -> BundleRow:
-        """Approve a proposed bundle, by another than its proposer."""
+        """Approve a proposed bundle; its proposer may not do that."""
         bundle, version = await self.get(number)
-        self._demand(bundle, BundleState.PROPOSED, 'approved')
+        self._require_state(bundle, BundleState.PROPOSED, 'approved')
         if signature.operator == bundle.proposed.operator:
             raise DeniedError(
-                'a bundle is approved by another operator than its proposer',
+                'a bundle must not be approved by its own proposer',
                 code='same_operator',
             )
         verify(self.keys, signature, 'approve', number, bundle.digest)
@@ -122,9 +126,12 @@
         return approved
 
     async def roll(self, number: int, signature: Signature) -> BundleRow:
-        """Roll an approved bundle over the fleet; numbers only rise."""
+        """Roll an approved bundle out over the fleet.
+
+        Its number must be above that of the bundle in force.
+        """
         bundle, version = await self.get(number)
-        self._demand(bundle, BundleState.APPROVED, 'rolled')
+        self._require_state(bundle, BundleState.APPROVED, 'rolled')
         verify(self.keys, signature, 'roll', number, bundle.digest)
         head, head_version = await self.read_head()
         if number <= head.rolled_number:
@@ -139,9 +146,9 @@
         verify_row(self.keys, rolled)
         rows = [(rolled, version)]
         if head.rolled_number:
-            last, last_version = await self.get(head.rolled_number)
-            superseded = attrs.evolve(last, state=BundleState.SUPERSEDED)
-            rows.append((superseded, last_version))
+            previous, previous_version = await self.get(head.rolled_number)
+            superseded = attrs.evolve(previous, state=BundleState.SUPERSEDED)
+            rows.append((superseded, previous_version))
         new_head = attrs.evolve(
             head, rolled_number=number, token=uuid.uuid4().hex
         )
@@ -149,7 +156,7 @@
         return rolled
 
     async def retire(self, number: int, signature: Signature) -> BundleRow:
-        """Retire a bundle that is not in force."""
+        """Retire a bundle that is neither rolling nor in force."""
         bundle, version = await self.get(number)
         if bundle.state in {BundleState.ROLLING, BundleState.IN_FORCE}:
             raise ConflictError(
@@ -158,7 +165,7 @@
             )
         if bundle.state is BundleState.RETIRED:
             raise ConflictError(
-                f'bundle {number} is retired already', code='wrong_state'
+                f'bundle {number} is already retired', code='wrong_state'
             )
         verify(self.keys, signature, 'retire', number, bundle.digest)
         retired = attrs.evolve(
@@ -174,7 +181,7 @@
         return retired
 
     async def mark_in_force(self, number: int) -> None:
-        """Note that every live instance holds a rolling bundle."""
+        """Mark a rolling bundle as in force on every live instance."""
         bundle, version = await self.get(number)
         if bundle.state is not BundleState.ROLLING:
             return
@@ -185,16 +192,17 @@
         )
 
     async def read_rolled(self) -> BundleRow | None:
-        """Return the bundle that is rolling or in force."""
+        """Return the bundle that is rolling or in force, if any."""
         head, _ = await self.read_head()
         if not head.rolled_number:
             return None
         bundle, _ = await self.get(head.rolled_number)
         return bundle
 
-    def _demand(
+    def _require_state(
         self, bundle: BundleRow, state: BundleState, action: str
     ) -> None:
+        """Raise ``ConflictError`` unless a bundle has a state."""
         if bundle.state is not state:
             raise ConflictError(
                 f'bundle {bundle.number} is {bundle.state.value}; only one'
@@ -209,6 +217,7 @@
         rows: t.Sequence[tuple[BundleRow, int]],
         advice: str,
     ) -> None:
+        """Write rows and the head, each if it has its expected version."""
         conditions = [Condition(_HEAD_KEY, head_version)]
         writes = [Write(_HEAD_KEY, codec.encode(head).decode())]
         for bundle, version in rows:
@@ -218,5 +227,5 @@
         resolved = await commit_resolved(self.table, conditions, writes)
         if not resolved.version:
             raise ConflictError(
-                f'another operator was first; {advice}', code='raced'
+                f'another operator made a change first; {advice}', code='raced'
             )
--- a/src/tulippin/bundles.py
+++ b/src/tulippin/bundles.py
@@ -1,4 +1,7 @@
-"""Bundles: their INI text, its checks, digests and signatures."""
+"""Bundles of policies and targets: parsing, digests and signatures.
+
+A bundle is an INI text that operators propose, approve and roll out.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class BundleState(enum.Enum):
-    """Where a bundle stands in its life."""
+    """States of a bundle's life cycle."""
 
     PROPOSED = 'proposed'
     APPROVED = 'approved'
@@ -34,7 +37,7 @@
 
 @attrs.frozen
 class ServiceTarget:
-    """What a service is to keep."""
+    """The latency target of a service."""
 
     service: str
     target_ms: float
@@ -42,7 +45,7 @@
 
 @attrs.frozen
 class TeamLimit:
-    """What a team may hold at one time; zero means no limit."""
+    """What a team may use at one time; zero millicores mean no limit."""
 
     team: str
     cpu_millicores: int = 0
@@ -74,7 +77,7 @@
     throughput_weight: float = 0.5
 
     def get_target_ms(self, service: str) -> float:
-        """Return the latency target of a service, or zero for none."""
+        """Return the latency target of a service, or 0 if it has none."""
         target = self.services.get(service)
         return target.target_ms if target else 0.0
 
@@ -89,7 +92,7 @@
 
 @attrs.frozen
 class BundleRow:
-    """A bundle as the table holds it."""
+    """A bundle as it is stored in the table."""
 
     number: int
     text: str
@@ -103,7 +106,7 @@
 
 @attrs.frozen
 class BundleHead:
-    """The head of the numbered log; ``rolled_number`` never falls."""
+    """The head of the numbered log; ``rolled_number`` never decreases."""
 
     next_number: int = 1
     rolled_number: int = 0
@@ -116,12 +119,15 @@
 
 
 def make_statement(action: str, number: int, digest: str) -> bytes:
-    """Return the bytes that an operator signs; number 0 to propose."""
+    """Return the bytes that an operator signs.
+
+    The number is 0 for a proposal, as it is assigned afterwards.
+    """
     return f'tulippin-bundle\n{action}\n{number}\n{digest}'.encode()
 
 
 def make_key() -> tuple[str, str]:
-    """Return a new private and public key, in hex."""
+    """Return a new private key and its public key, in hex."""
     private = Ed25519PrivateKey.generate()
     return (
         private.private_bytes_raw().hex(),
@@ -186,19 +192,24 @@
 
 
 def verify_row(keys: t.Mapping[str, str], row: BundleRow) -> None:
-    """Check everything that makes a row's bundle fit to be in force.
+    """Check the digest and signatures that a rolled bundle needs.
 
     Raises
     ------
     DeniedError
-        If a signature is missing or wrong, or one operator signed twice.
+        If the digest is wrong, a signature is missing or wrong, or the
+        proposer is also the approver.
     """
     if row.digest != compute_digest(row.text):
-        raise DeniedError('the digest is not that of the text', 'bad_digest')
+        raise DeniedError('the digest does not match the text', 'bad_digest')
     if row.approved is None or row.rolled is None:
-        raise DeniedError('the bundle is not approved and rolled', 'unsigned')
+        raise DeniedError(
+            'the bundle is not both approved and rolled', 'unsigned'
+        )
     if row.approved.operator == row.proposed.operator:
-        raise DeniedError('proposer and approver are the same', 'same_operator')
+        raise DeniedError(
+            'proposer and approver are the same operator', 'same_operator'
+        )
     verify(keys, row.proposed, 'propose', 0, row.digest)
     verify(keys, row.approved, 'approve', row.number, row.digest)
     verify(keys, row.rolled, 'roll', row.number, row.digest)
@@ -210,7 +221,7 @@
     Raises
     ------
     InputError
-        With every finding, each with its file, section and key.
+        With all findings, each with its file, section and key.
     """
     if len(text.encode()) > BUNDLE_LIMIT_BYTES:
         raise InputError(
@@ -230,7 +241,7 @@
 
 
 class _BundleSections:
-    """Reads one bundle section by section, collecting findings."""
+    """Reads a bundle section by section and collects findings."""
 
     def __init__(
         self,
@@ -243,8 +254,8 @@
         self._findings = findings
 
     def read(self) -> Bundle:
-        """Return the bundle, as far as it could be read."""
-        self._check_names()
+        """Return the bundle, with substitutes for invalid values."""
+        self._check_section_names()
         main = self._open('bundle')
         name = main.get_text('name')
         tail = main.get_float('tail_weight', 0.5, 0, 1)
@@ -266,7 +277,7 @@
             self._parser, section, self._source, self._findings
         )
 
-    def _check_names(self) -> None:
+    def _check_section_names(self) -> None:
         known = ('policy ', 'service ', 'team ')
         for section in self._parser.sections():
             if section in {'bundle', 'trial'} or section.startswith(known):
@@ -294,7 +305,7 @@
             self._findings.append(
                 Finding(
                     f'{self._source}: [policy NAME]',
-                    'no policy is given',
+                    'at least one policy is required',
                     'add a section such as [policy baseline]',
                 )
             )
@@ -308,13 +319,13 @@
                 reader.report(
                     'policies',
                     f'no section [policy {name}]',
-                    'add it or take the name out',
+                    'add it or remove the name',
                 )
         window_s = reader.get_int('window_s', 60, 1, 86400)
         wash_out_s = reader.get_int('wash_out_s', min(5, window_s // 2), 0)
         if wash_out_s >= window_s:
             reader.report(
-                'wash_out_s', 'not below window_s', 'make the window longer'
+                'wash_out_s', 'must be below window_s', 'make the window longer'
             )
         trial = Trial(
             policies=tuple(names) or tuple(policies),
--- a/src/tulippin/exceptions.py
+++ b/src/tulippin/exceptions.py
@@ -1,4 +1,4 @@
-"""The exception family: every error carries a code and an exit code."""
+"""Exceptions of the product, each with a code and an exit code."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen
 class Finding:
-    """One fault in an input, with its place and what to do about it.
+    """One fault in an input: where it is and how to correct it.
 
     Parameters
     ----------
     place : str
-        File, section and key (or JSON path) where the fault stands.
+        File, section and key (or JSON path) of the fault.
     message : str
         What is wrong.
     advice : str
-        What to do next.
+        How to correct it.
     """
 
     place: str
@@ -33,14 +33,14 @@
 
 
 class TulippinError(Exception):
-    """Base of every error that the product raises on purpose.
+    """Base class of the errors that the product raises deliberately.
 
     Parameters
     ----------
     message : str
         What went wrong, and what to do next.
     code : str, optional
-        A stable word for programs; defaults to the class's own.
+        A stable identifier for programs; defaults to the class's.
     """
 
     code = 'internal'
@@ -53,16 +53,16 @@
             self.code = code
 
     def format_message(self) -> str:
-        """Return the text shown to a person."""
+        """Return the text shown to a user."""
         return f'{self.code}: {self.message}'
 
     def show(self, stream: t.TextIO | None = None) -> None:
-        """Write the error to a stream, standard error unless given."""
+        """Write the error to a stream, by default standard error."""
         print(self.format_message(), file=stream or sys.stderr)
 
 
 class InputError(TulippinError):
-    """An input was refused; all its findings are reported together."""
+    """An input is invalid; all its findings are reported together."""
 
     code = 'bad_input'
     exit_code = 2
@@ -84,41 +84,41 @@
 
 
 class ConflictError(TulippinError):
-    """Another operator, or another instance, was first."""
+    """Another operator or instance made a conflicting change first."""
 
     code = 'conflict'
     exit_code = 3
 
 
 class NotFoundError(TulippinError):
-    """The named thing is not known here."""
+    """The requested object does not exist."""
 
     code = 'not_found'
     exit_code = 4
 
 
 class UnavailableError(TulippinError):
-    """A service that is needed does not answer; nothing was done."""
+    """A service does not answer; the call had no effect."""
 
     code = 'unavailable'
     exit_code = 5
 
 
 class AnswerLostError(UnavailableError):
-    """A call was sent and its answer is lost; it may have taken effect."""
+    """A call was sent but its answer was lost; it may have taken effect."""
 
     code = 'unknown'
 
 
 class DeniedError(TulippinError):
-    """The operator or the signature does not permit the action."""
+    """The operator or the signature is not authorized for the action."""
 
     code = 'denied'
     exit_code = 6
 
 
 class FencedError(TulippinError):
-    """The session was revoked: its holder must step down."""
+    """The session was revoked; its holder must stop acting for its units."""
 
     code = 'fenced'
     exit_code = 7
--- a/src/tulippin/failures.py
+++ b/src/tulippin/failures.py
@@ -1,8 +1,8 @@
-"""Errors that nothing was meant to raise, each told as one log line.
+"""Logging of unexpected errors, one log line each.
 
-Whoever contains such an error says so here, whatever it does next. The line
-holds the whole traceback: the last line of one tells neither which input
-was at work nor where.
+Code that contains an unexpected error calls ``tell``, however it goes on.
+The line includes the traceback, as the error's message alone shows neither
+where it was raised nor for which input.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from tulippin.exceptions import TulippinError
 from tulippin.logs import logger
 
-# Of a traceback, its end; a group of exceptions repeats the frames above.
-_TRACEBACK_SIGNS: t.Final = 6000
-# Of an error's own text; the frames stand before it.
-_CAUSE_SIGNS: t.Final = 500
-# Errors of one group beside the first that are told.
-_OTHER_CAUSES: t.Final = 3
-# Of a process that ends by an error of no code.
-_EXIT_CODE: t.Final = 1
-# How often each has been told in this process, by what failed.
+# Only the end of a traceback is logged; a group repeats the frames above it.
+_MAX_TRACEBACK_CHARS: t.Final = 6000
+# The error's own text is cut, so that it doesn't displace the frames.
+_MAX_CAUSE_CHARS: t.Final = 500
+# Errors of one group that are logged beside the first.
+_MAX_OTHER_CAUSES: t.Final = 3
+# Exit code for an error that has none of its own.
+_DEFAULT_EXIT_CODE: t.Final = 1
+# Number of errors logged by this process, by log message.
 counts: t.Final[collections.Counter[str]] = collections.Counter()
-# A fault at each event or call would fill the log with one traceback: it is
-# told so often, then at each so many.
-_WHOLE_COUNT: t.Final = 20
-_WHOLE_EVERY: t.Final = 100
+# A fault that recurs at each event or call would fill the log with copies of
+# its traceback: only the first few are logged, then one in each interval.
+_FIRST_TRACEBACKS: t.Final = 20
+_TRACEBACK_INTERVAL: t.Final = 100
 
-_times_told: t.Final[collections.Counter[tuple[str, str, str]]] = (
+_log_counts: t.Final[collections.Counter[tuple[str, str, str]]] = (
     collections.Counter()
 )
 
@@ -42,12 +42,12 @@
 
 
 def describe(error: BaseException) -> dict[str, t.Any]:
-    """Return what a log line tells of an error.
+    """Return the fields of a log line about an error.
 
     Parameters
     ----------
     error : BaseException
-        As it was caught; the first cause of a group stands for it.
+        The caught error; of a group, the first error within is described.
 
     Returns
     -------
@@ -57,27 +57,30 @@
     """
     cause, *others = find_causes(error)
     parts = traceback.format_exception(cause)
-    text = ''.join(part[:_CAUSE_SIGNS] for part in parts)
-    told: dict[str, t.Any] = {
-        'cause': _tell_cause(cause),
+    text = ''.join(part[:_MAX_CAUSE_CHARS] for part in parts)
+    details: dict[str, t.Any] = {
+        'cause': _format_cause(cause),
         'place': _find_place(cause),
-        'traceback': _make_text(text[-_TRACEBACK_SIGNS:]),
+        'traceback': _escape_unencodable(text[-_MAX_TRACEBACK_CHARS:]),
     }
     if others:
-        told['other_causes'] = list(map(_tell_cause, others[:_OTHER_CAUSES]))
-    return told
+        details['other_causes'] = list(
+            map(_format_cause, others[:_MAX_OTHER_CAUSES])
+        )
+    return details
 
 
-def _tell_cause(cause: BaseException) -> str:
-    """Return an error's text; its own code may fail at that."""
+def _format_cause(cause: BaseException) -> str:
+    """Return an error's ``repr``, or a substitute if that raises."""
     try:
         text = repr(cause)
-    except Exception as second:
-        text = f'{type(cause).__name__}, whose text raises {type(second)}'
-    return _make_text(text[:_CAUSE_SIGNS])
+    except Exception as repr_error:
+        text = f'{type(cause).__name__}, whose repr raises {type(repr_error)}'
+    return _escape_unencodable(text[:_MAX_CAUSE_CHARS])
 
 
 def _find_place(cause: BaseException) -> str:
+    """Return file, line and function of the innermost frame."""
     frames = traceback.extract_tb(cause.__traceback__)
     if not frames:
         return ''
@@ -85,42 +88,47 @@
     return f'{last.filename}:{last.lineno} {last.name}'
 
 
-def _make_text(text: str) -> str:
-    """Return a text that UTF-8 can hold; an error's own may not be one."""
+def _escape_unencodable(text: str) -> str:
+    """Escape what UTF-8 can't encode, such as lone surrogates."""
     return text.encode(errors='backslashreplace').decode()
 
 
 def get_exit_code(error: BaseException) -> int:
-    """Return the exit code of a process that an error ends."""
+    """Return the exit code of a process that ends by an error.
+
+    Errors of a group that differ in their codes give the general code.
+    """
     codes = {
-        cause.exit_code if isinstance(cause, TulippinError) else _EXIT_CODE
+        cause.exit_code
+        if isinstance(cause, TulippinError)
+        else _DEFAULT_EXIT_CODE
         for cause in find_causes(error)
     }
-    return codes.pop() if len(codes) == 1 else _EXIT_CODE
+    return codes.pop() if len(codes) == 1 else _DEFAULT_EXIT_CODE
 
 
-def tell(what: str, error: BaseException, **fields: t.Any) -> None:
-    """Log and count an unexpected error with all that is known of it.
+def tell(message: str, error: BaseException, **fields: t.Any) -> None:
+    """Log and count an unexpected error.
 
-    One that comes again and again is told each time with its cause and its
-    place, but seldom with its traceback.
+    An error that recurs is logged each time with its cause and place, but
+    after the first few times mostly without its traceback.
 
     Parameters
     ----------
-    what : str
-        What failed, as the line's message.
+    message : str
+        What failed: the log message, and the key in ``counts``.
     error : BaseException
-        What it raised.
+        The error as it was caught.
     **fields
-        What it was about: unit, event, rows.
+        More log fields, such as the unit, event or rows concerned.
     """
-    counts[what] += 1
-    told = describe(error)
-    kind = type(find_causes(error)[0]).__name__
-    key = (what, kind, told['place'])
-    _times_told[key] += 1
-    number = _times_told[key]
-    if number > _WHOLE_COUNT and number % _WHOLE_EVERY:
-        told.pop('traceback')
-        told['time_told'] = number
-    logger.error(what, **fields, **told)
+    counts[message] += 1
+    details = describe(error)
+    class_name = type(find_causes(error)[0]).__name__
+    key = (message, class_name, details['place'])
+    _log_counts[key] += 1
+    log_count = _log_counts[key]
+    if log_count > _FIRST_TRACEBACKS and log_count % _TRACEBACK_INTERVAL:
+        details.pop('traceback')
+        details['time_told'] = log_count
+    logger.error(message, **fields, **details)
--- a/src/tulippin/ini.py
+++ b/src/tulippin/ini.py
@@ -1,4 +1,4 @@
-"""Checked reading of INI files: every finding with its place."""
+"""Reading and checking of INI files; each finding names its place."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 _HEX_KEY: t.Final = re.compile('[0-9a-f]{64}')
 _PORT: t.Final = re.compile('[0-9]{1,5}')
-_MOST_PORT: t.Final = 65535
+_MAX_PORT: t.Final = 65535
 _HOST_NAME: t.Final = re.compile(r'[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*')
-# Whole numbers beyond it are none that a float, or a store, holds.
-_LARGEST: t.Final = 2**63
+# Integers beyond it may not fit into a float or into the store.
+_MAX_NUMBER: t.Final = 2**63
 
 
 def read_settings_text(source: str) -> str:
-    """Return the text of the settings file at a path.
+    """Read the settings file at a path.
 
     Raises
     ------
     InputError
-        If it cannot be read as text.
+        If it can't be read as text.
     """
     try:
         return pathlib.Path(source).read_text()
@@ -40,7 +40,7 @@
     Raises
     ------
     InputError
-        If the text is not INI; the finding names the line.
+        If the text is not valid INI; the finding names the line.
     """
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str  # type: ignore[assignment,method-assign]
@@ -49,13 +49,13 @@
     except configparser.Error as error:
         finding = Finding(source, str(error).replace('\n', ' '))
         raise InputError(
-            f'{source} is not INI', [finding], code='bad_ini'
+            f'{source} is not a valid INI file', [finding], code='bad_ini'
         ) from error
     return parser
 
 
 class SectionReader:
-    """Reads the keys of one section and reports what is wrong.
+    """Reads the keys of one section and reports invalid ones.
 
     Parameters
     ----------
@@ -66,7 +66,7 @@
     source : str
         The file's name, for findings.
     findings : list of Finding
-        Where findings are collected.
+        Findings are appended to it.
     """
 
     def __init__(
@@ -84,12 +84,12 @@
         self._values = dict(parser.items(section)) if present else {}
 
     def report(self, key: str, message: str, advice: str = '') -> None:
-        """Collect one finding about a key."""
+        """Add a finding about a key."""
         place = f'{self._source}: [{self._section}] {key}'
         self._findings.append(Finding(place, message, advice))
 
     def get_text(self, key: str, default: str | None = None) -> str:
-        """Return a text; without a default the key is required."""
+        """Return a key's text; without a default the key is required."""
         self._used.add(key)
         text = self._values.get(key, '').strip()
         if text:
@@ -113,13 +113,15 @@
         choices: t.Sequence[str],
         default: str | None = None,
     ) -> str:
-        """Return one of the allowed words."""
+        """Return one of the allowed values."""
         text = self.get_text(key, default)
         if text in choices:
             return text
         if text:
             allowed = ', '.join(choices)
-            self.report(key, f'{text!r} is not known', f'one of: {allowed}')
+            self.report(
+                key, f'{text!r} is not a known value', f'one of: {allowed}'
+            )
         return choices[0]
 
     def get_int(
@@ -129,7 +131,7 @@
         least: int | None = None,
         most: int | None = None,
     ) -> int:
-        """Return a whole number within bounds."""
+        """Return an integer within bounds."""
         return int(self._get_number(key, int, default, least, most))
 
     def get_float(
@@ -143,7 +145,7 @@
         return float(self._get_number(key, float, default, least, most))
 
     def close(self) -> None:
-        """Report the keys that nobody asked for."""
+        """Report unknown keys: those that were never read."""
         for key in self._values:
             if key not in self._used:
                 known = ', '.join(sorted(self._used))
@@ -166,9 +168,9 @@
         except ValueError:
             self.report(key, f'{text!r} is not a number', 'write a number')
             return fallback
-        low = -_LARGEST if least is None else least
-        high = _LARGEST if most is None else most
-        # Also false for what is no number.
+        low = -_MAX_NUMBER if least is None else least
+        high = _MAX_NUMBER if most is None else most
+        # The comparison is also false for NaN.
         if not low <= number <= high:
             self.report(key, f'{text} is out of bounds', f'{low} to {high}')
             return fallback
@@ -176,8 +178,8 @@
 
 
 def parse_port(text: str) -> int | None:
-    """Return a port; nothing if the text is none."""
-    if not _PORT.fullmatch(text) or int(text) > _MOST_PORT:
+    """Return a port number, or nothing if the text is not one."""
+    if not _PORT.fullmatch(text) or int(text) > _MAX_PORT:
         return None
     return int(text)
 
@@ -185,22 +187,24 @@
 def check_address(
     reader: SectionReader, key: str, address: str, *, may_be_name: bool = False
 ) -> None:
-    """Report an address that is no IP and port.
+    """Report an address that is not an IP and a port.
 
     Parameters
     ----------
     reader : SectionReader
-        Collects the finding.
+        The finding is added to it.
     key, address : str
-        What is checked.
+        The key and its text.
     may_be_name : bool
-        A host's name will do: it is connected to, not listened on.
+        A host name is allowed too, for addresses to connect to.
     """
     host, _, port = address.rpartition(':')
     if not (may_be_name and _HOST_NAME.fullmatch(host)) and not _is_ip(host):
-        reader.report(key, f'{address!r} has no IP number', 'write IP:PORT')
+        reader.report(
+            key, f'{address!r} has no valid IP address', 'write IP:PORT'
+        )
     elif parse_port(port) is None:
-        reader.report(key, f'{address!r} has no port', 'write IP:PORT')
+        reader.report(key, f'{address!r} has no valid port', 'write IP:PORT')
 
 
 def _is_ip(host: str) -> bool:
@@ -214,17 +218,17 @@
 def read_operators(
     parser: configparser.ConfigParser, reader: SectionReader
 ) -> dict[str, str]:
-    """Return operators' public keys by name, from their section."""
-    found: dict[str, str] = {}
+    """Return the operators' public keys by name, from ``[operators]``."""
+    public_keys: dict[str, str] = {}
     if not parser.has_section('operators'):
-        return found
+        return public_keys
     for name in parser.options('operators'):
         key = reader.get_text(name)
-        found[name] = key
+        public_keys[name] = key
         if key and not _HEX_KEY.fullmatch(key):
             reader.report(
                 name,
-                'is no Ed25519 public key of 64 hex digits',
+                'is not an Ed25519 public key of 64 hex digits',
                 'make one with "tulippin key make"',
             )
-    return found
+    return public_keys
--- a/src/tulippin/line_buffer.py
+++ b/src/tulippin/line_buffer.py
@@ -1,4 +1,4 @@
-"""Log lines that never block: a bounded buffer before a file."""
+"""A log handler that never blocks: a bounded buffer in front of a file."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 from tulippin.logs import encode_line
 
-# Lines kept while the reader is slow: some 2 MB, a burst of seconds.
-_LINE_LIMIT: t.Final = 8000
-# Lines that hold a traceback are longer.
-_LIMIT_BYTES: t.Final = 4_000_000
-# A pipe takes so many bytes whole or not at all, so no line is torn.
-_WRITE_BYTES: t.Final = select.PIPE_BUF
-_MS: t.Final = 1000
+# Buffer while the reader is slow: about 2 MB, a burst of some seconds.
+_MAX_LINES: t.Final = 8000
+# Lines with tracebacks are longer, so bytes are limited as well.
+_MAX_BUFFER_BYTES: t.Final = 4_000_000
+# A pipe accepts writes up to this size atomically, so no line is split.
+_MAX_WRITE_BYTES: t.Final = select.PIPE_BUF
+_MS_PER_S: t.Final = 1000
 
 
-def _make_line(fields: t.Mapping[str, t.Any]) -> bytes:
+def _encode_with_newline(fields: t.Mapping[str, t.Any]) -> bytes:
     return b'%s\n' % encode_line(fields)
 
 
 class LineBuffer(logbook.Handler):
-    """A log handler that writes JSON lines without ever waiting.
+    """A log handler that writes JSON lines without blocking.
 
-    Lines go into a bounded buffer, which ``flush`` writes as far as the
-    file takes them. What finds the buffer full is dropped and counted,
-    and the count is told with the next line that has room. A file that
-    refuses to be written keeps the lines here, and is told of once it
-    takes them again: an instance works on without a reader of its log.
+    Lines go into a bounded buffer; ``flush`` writes as many as the file
+    accepts. Lines that don't fit are dropped and counted, and the count is
+    logged before the next line that fits. If writing fails, the lines stay
+    in the buffer and the failure is logged once writing succeeds again: an
+    instance goes on without a reader of its log.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; it is switched to non-blocking.
+        File descriptor to write to; it is made non-blocking.
     fields : mapping
-        Written on each line.
+        Included in each line.
     level : str
-        The least level to write.
+        The lowest level that is logged.
     """
 
     def __init__(
@@ -54,19 +54,19 @@
         self._descriptor = descriptor
         self._fields = dict(fields)
         self._lines: collections.deque[bytes] = collections.deque()
-        self._rest = b''
-        self._refusal = ''
-        self._refusal_count = 0
+        self._chunk = b''
+        self._write_error = ''
+        self._write_error_count = 0
         self.dropped_count = 0
         self.waiting_bytes = 0
         os.set_blocking(descriptor, False)
 
     def change_level(self, level: str) -> None:
-        """Change the least level to write."""
+        """Change the lowest level that is logged."""
         self.level = logbook.lookup_level(level)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Put a line into the buffer, or count it as dropped."""
+        """Add a record to the buffer, or count it as dropped."""
         line = self._format(record)
         if self._is_full(len(line)):
             self.dropped_count += 1
@@ -74,20 +74,22 @@
         if self.dropped_count:
             count = self.dropped_count
             self.dropped_count = 0
-            self._tell('lines dropped', count=count)
+            self._log('lines dropped', count=count)
         self._append(line)
 
-    def _is_full(self, more_bytes: int) -> bool:
-        is_long = self.waiting_bytes + more_bytes > _LIMIT_BYTES
-        return is_long or len(self._lines) >= _LINE_LIMIT
+    def _is_full(self, line_bytes: int) -> bool:
+        exceeds_bytes = self.waiting_bytes + line_bytes > _MAX_BUFFER_BYTES
+        return exceeds_bytes or len(self._lines) >= _MAX_LINES
 
     def _append(self, line: bytes) -> None:
         self._lines.append(line)
         self.waiting_bytes += len(line)
 
-    def _tell(self, message: str, **fields: t.Any) -> None:
-        """Put a line of the buffer's own beside those of others."""
-        self._append(_make_line({**self._fields, 'message': message, **fields}))
+    def _log(self, message: str, **fields: t.Any) -> None:
+        """Add a line about the buffer itself, past its limits."""
+        self._append(
+            _encode_with_newline({**self._fields, 'message': message, **fields})
+        )
 
     def _format(self, record: logbook.LogRecord) -> bytes:
         line = {
@@ -97,65 +99,66 @@
             'message': record.message,
             **record.kwargs,
         }
-        return _make_line(line)
+        return _encode_with_newline(line)
 
     def flush(self) -> None:
-        """Write as much as the file takes now.
+        """Write as much as the file accepts without blocking.
 
-        One that takes nothing, as its reader has gone or its disk is full,
-        ends nobody: the lines wait, and that is told once it takes some.
+        If nothing can be written, because the reader is gone or the disk is
+        full, the lines stay in the buffer and no error is raised.
         """
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._gather()
+        while self._chunk or self._lines:
+            if not self._chunk:
+                self._chunk = self._take_chunk()
             if not self._write():
                 return
 
     def drain(self, limit_s: float) -> None:
-        """Write what waits, and wait for a slow reader for so long at most.
+        """Write the whole buffer, waiting for a slow reader up to a limit.
 
-        For the end of a process: the last lines tell why it ended.
+        Called at the end of a process, whose last lines show why it ended.
         """
-        until_s = time.monotonic() + limit_s
+        deadline_s = time.monotonic() + limit_s
         poll = select.poll()
         poll.register(self._descriptor, select.POLLOUT)
         self.flush()
-        while self.waiting_bytes and not self._refusal:
-            left_s = until_s - time.monotonic()
-            if left_s <= 0:
+        while self.waiting_bytes and not self._write_error:
+            remaining_s = deadline_s - time.monotonic()
+            if remaining_s <= 0:
                 return
-            poll.poll(left_s * _MS)
+            poll.poll(remaining_s * _MS_PER_S)
             self.flush()
 
     def _write(self) -> bool:
-        """Write a part of what waits; return whether the file took any."""
+        """Write part of the current chunk; return whether any was accepted."""
         try:
-            count = os.write(self._descriptor, self._rest)
+            count = os.write(self._descriptor, self._chunk)
         except BlockingIOError:
             return False
         except OSError as error:
-            self._refusal = str(error)
-            self._refusal_count += 1
+            self._write_error = str(error)
+            self._write_error_count += 1
             return False
-        self._rest = self._rest[count:]
+        self._chunk = self._chunk[count:]
         self.waiting_bytes -= count
-        if self._refusal:
-            self._tell_refusal()
+        if self._write_error:
+            self._log_write_error()
         return True
 
-    def _tell_refusal(self) -> None:
-        reason = self._refusal
-        count = self._refusal_count
-        self._refusal = ''
-        self._refusal_count = 0
-        self._tell('log was not written', reason=reason, count=count)
+    def _log_write_error(self) -> None:
+        reason = self._write_error
+        count = self._write_error_count
+        self._write_error = ''
+        self._write_error_count = 0
+        self._log('log was not written', reason=reason, count=count)
 
-    def _gather(self) -> bytes:
-        chosen = []
+    def _take_chunk(self) -> bytes:
+        """Take lines from the buffer that fit into one atomic write."""
+        taken = []
         total = 0
         while self._lines:
             total += len(self._lines[0])
-            if chosen and total > _WRITE_BYTES:
+            if taken and total > _MAX_WRITE_BYTES:
                 break
-            chosen.append(self._lines.popleft())
-        return b''.join(chosen)
+            taken.append(self._lines.popleft())
+        return b''.join(taken)
--- a/src/tulippin/logs.py
+++ b/src/tulippin/logs.py
@@ -1,4 +1,7 @@
-"""Structured logs by logbook: text or JSON lines, one shape for all."""
+"""Structured logging with logbook, as text or as JSON lines.
+
+All modules log through ``logger``; fields are passed as keywords.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 if t.TYPE_CHECKING:
     from tulippin.settings import LogSettings
 
-_TEXT: t.Final = (
+_TEXT_FORMAT: t.Final = (
     '{record.time:%Y-%m-%dT%H:%M:%S.%f}Z {record.level_name:<7}'
     ' {record.extra[instance]} {record.extra[failure_domain]}'
     ' {record.channel}: {record.message}{record.extra[fields]}'
@@ -24,18 +27,19 @@
 def encode_line(fields: t.Mapping[str, t.Any]) -> bytes:
     """Return a log line as JSON, whatever its fields hold.
 
-    A value that JSON does not take is told as text: the line that holds one
-    is most likely about a fault, and would be lost with it.
+    A value that JSON can't represent is written as its ``repr``. Such a
+    line is most likely about a fault, so it must not be lost.
     """
     try:
         return encode(fields)
     except (TypeError, ValueError, RecursionError):
         return encode(
-            {name: _make_plain(value) for name, value in fields.items()}
+            {name: _to_json_value(value) for name, value in fields.items()}
         )
 
 
-def _make_plain(value: t.Any) -> t.Any:
+def _to_json_value(value: t.Any) -> t.Any:
+    """Return a value that JSON can represent, or its ``repr``."""
     try:
         encode(value)
     except (TypeError, ValueError, RecursionError):
@@ -65,19 +69,19 @@
     settings : LogSettings
         Style and level.
     instance_id, failure_domain : str
-        Written on each line.
+        Included in each line.
     """
 
     def __init__(
         self, settings: LogSettings, instance_id: str, failure_domain: str
     ) -> None:
         handler = logbook.StreamHandler(
-            sys.stderr, level=settings.level.upper(), format_string=_TEXT
+            sys.stderr, level=settings.level.upper(), format_string=_TEXT_FORMAT
         )
         if settings.style == 'json':
             handler.formatter = _format_json
 
-        def inject(record: logbook.LogRecord) -> None:
+        def add_extra_fields(record: logbook.LogRecord) -> None:
             record.extra['instance'] = instance_id
             record.extra['failure_domain'] = failure_domain
             record.extra['fields'] = ''.join(
@@ -88,15 +92,15 @@
             [
                 logbook.NullHandler(),
                 handler,
-                logbook.Processor(inject),
+                logbook.Processor(add_extra_fields),
             ]
         )
 
     def __enter__(self) -> t.Self:
-        """Begin to log."""
+        """Install the log handler for the process."""
         self._setup.push_application()
         return self
 
     def __exit__(self, *details: object) -> None:
-        """Stop logging."""
+        """Remove the log handler."""
         self._setup.pop_application()
--- a/src/tulippin/row_table.py
+++ b/src/tulippin/row_table.py
@@ -1,4 +1,4 @@
-"""The product's table over the platform's rows, for bundles."""
+"""Adapter that stores bundles in the row store of the platform."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from tulippin.jobs.records import PRODUCT_PART, PRODUCT_TABLE
 from tulippin.ports import Condition, Row, Write
 
-# An operator waits for a step at most so long.
-_COMMIT_LIMIT_S: t.Final = 3.0
+# Bounds how long an operator's command waits for its commit.
+_COMMIT_TIMEOUT_S: t.Final = 3.0
 
 
-def _convert(row: StoredRow) -> Row:
-    # What is no text becomes text that no signature confirms.
+def _to_row(row: StoredRow) -> Row:
+    # Invalid UTF-8 is replaced; the signature check then rejects the text.
     return Row((row.value or b'').decode(errors='replace'), row.version)
 
 
 @attrs.frozen
 class RowTable:
-    """Keeps the product's rows in one table and part; see ``Table``."""
+    """Implements the ``Table`` port on one table and part of a row store."""
 
     store: RowStore
 
     async def get(self, key: str) -> Row | None:
-        """Return a row."""
+        """Return a row, or nothing if it is absent."""
         page = await self.store.read_rows(
             PRODUCT_TABLE, PRODUCT_PART, key, f'{key}\0'
         )
-        return _convert(page.rows[0]) if page.rows else None
+        return _to_row(page.rows[0]) if page.rows else None
 
     async def scan(self, prefix: str) -> list[tuple[str, Row]]:
         """Return the rows whose key begins with a prefix."""
@@ -46,12 +46,15 @@
         page = await self.store.read_rows(
             PRODUCT_TABLE, PRODUCT_PART, prefix, end
         )
-        return [(row.key, _convert(row)) for row in page.rows]
+        return [(row.key, _to_row(row)) for row in page.rows]
 
     async def commit(
         self, conditions: t.Sequence[Condition], writes: t.Sequence[Write]
     ) -> int:
-        """Apply all writes if all conditions hold."""
+        """Apply all writes if all conditions hold.
+
+        Returns the version of the rows, or 0 if a condition did not hold.
+        """
         transaction = Transaction(
             PRODUCT_PART,
             tuple(
@@ -67,7 +70,9 @@
                 for one in writes
             ),
         )
-        result = await transact_surely(self.store, transaction, _COMMIT_LIMIT_S)
+        result = await transact_surely(
+            self.store, transaction, _COMMIT_TIMEOUT_S
+        )
         if not result.is_done and not conditions:
-            raise AnswerLostError('the store refused a write')
+            raise AnswerLostError('the store rejected an unconditional write')
         return result.version if result.is_done else 0
--- a/src/tulippin/settings.py
+++ b/src/tulippin/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon: INI, every finding reported together."""
+"""The daemon's settings file: INI, with all findings reported together."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 from tulippin.state import Config
 
-# Above any limit that an instance can keep.
-_HIGHEST_LIMIT: t.Final = 10**9
+# Above any limit that an instance could make use of.
+_MAX_LIMIT: t.Final = 10**9
 _SECTIONS: t.Final = frozenset(
     (
         'instance',
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class ListenSettings:
-    """Addresses to listen on, each an IP and a port."""
+    """Addresses of the listeners, each an IP and a port."""
 
     callers: str
     operators: str
@@ -46,18 +46,18 @@
 
 @attrs.frozen
 class TlsSettings:
-    """PEM files; empty where TLS is off.
+    """Paths of PEM files, empty where TLS is off, and the peers' name.
 
     Parameters
     ----------
     operators_certificate, operators_key : str
-        For the operators' listener.
+        Certificate and key of the operators' listener.
     operators_authority : str
-        If given, operators must show a certificate signed by it.
+        If given, operators must present a certificate signed by it.
     peers_certificate, peers_key, peers_authority : str
         For mutual TLS between peers.
     peers_name : str
-        The name in every instance's certificate.
+        The host name in every instance's certificate.
     """
 
     operators_certificate: str = ''
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class LogSettings:
-    """How to log: ``text`` or ``json``, and from which level."""
+    """Log style, ``text`` or ``json``, and the lowest level logged."""
 
     style: str = 'text'
     level: str = 'info'
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class LimitSettings:
-    """What callers may send."""
+    """Limits on what callers may send, and the stop's grace period."""
 
     max_body_bytes: int = 1048576
     max_deadline_ms: int = 600000
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class Settings:
-    """Everything that a daemon learns from its file."""
+    """The whole content of a daemon's settings file."""
 
     config: Config
     listen: ListenSettings
@@ -107,14 +107,20 @@
     Raises
     ------
     InputError
-        With every finding, each with file, section and key.
+        With all findings, each with file, section and key.
     """
     source = str(path)
     return parse_settings(read_settings_text(source), source)
 
 
 def parse_settings(text: str, source: str = 'settings') -> Settings:
-    """Check settings given as text."""
+    """Parse and check settings given as text.
+
+    Raises
+    ------
+    InputError
+        With all findings, each with its source, section and key.
+    """
     parser = read_ini(text, source)
     findings: list[Finding] = []
     settings = _SettingsReader(parser, source, findings).read()
@@ -128,7 +134,7 @@
 
 
 class _SettingsReader:
-    """Reads the sections one by one, collecting findings."""
+    """Reads section by section and collects findings."""
 
     def __init__(
         self,
@@ -141,7 +147,7 @@
         self._findings = findings
 
     def read(self) -> Settings:
-        """Return the settings, as far as they could be read."""
+        """Return the settings, with substitutes for invalid values."""
         for section in self._parser.sections():
             if section not in _SECTIONS:
                 known = ', '.join(sorted(_SECTIONS))
@@ -217,8 +223,8 @@
             'drain_limit_ms': (1000, 600000),
         }
         values = {
-            name: reader.get_int(name, defaults[name].default, least, most)
-            for name, (least, most) in bounds.items()
+            name: reader.get_int(name, defaults[name].default, low, high)
+            for name, (low, high) in bounds.items()
         }
         if values['renew_every_ms'] * 2 > values['lease_ms']:
             reader.report(
@@ -233,15 +239,17 @@
         reader = self._open('platform')
         url = reader.get_text('url')
         if url and not url.startswith(('http://', 'https://')):
-            reader.report('url', f'{url!r} is no URL', 'http://IP:PORT')
+            reader.report(
+                'url', f'{url!r} is not an HTTP URL', 'http://IP:PORT'
+            )
         reader.close()
         return url.rstrip('/')
 
     def _read_operators(self) -> dict[str, str]:
         reader = self._open('operators')
-        found = read_operators(self._parser, reader)
+        public_keys = read_operators(self._parser, reader)
         reader.close()
-        return found
+        return public_keys
 
     def _read_tls(self) -> TlsSettings:
         reader = self._open('tls')
@@ -256,7 +264,7 @@
                     'give the path of a PEM file',
                 )
         for group in ('operators', 'peers'):
-            _check_group(reader, values, group)
+            _check_tls_group(reader, values, group)
         reader.close()
         return TlsSettings(**values)
 
@@ -276,7 +284,7 @@
         limits = LimitSettings(
             **{
                 field.name: reader.get_int(
-                    field.name, field.default, 1, _HIGHEST_LIMIT
+                    field.name, field.default, 1, _MAX_LIMIT
                 )
                 for field in attrs.fields(LimitSettings)
             }
@@ -285,7 +293,7 @@
         return limits
 
 
-def _check_group(
+def _check_tls_group(
     reader: SectionReader, values: t.Mapping[str, str], group: str
 ) -> None:
     certificate = values[f'{group}_certificate']
@@ -293,14 +301,14 @@
     if bool(certificate) != bool(key):
         reader.report(
             f'{group}_key',
-            'certificate and key go together',
+            'certificate and key must be given together',
             'give both or neither',
         )
     if group == 'peers' and certificate and not values['peers_authority']:
         reader.report(
             'peers_authority',
             'is missing',
-            'peers prove themselves to each other; give their authority',
+            'peers authenticate each other; give their certificate authority',
         )
 
 
--- a/src/tulippin/supervision.py
+++ b/src/tulippin/supervision.py
@@ -1,4 +1,4 @@
-"""Tasks that go on after an error that nothing was meant to raise."""
+"""Restarting of background tasks after unexpected errors."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from tulippin import failures
 
-# What fails at every turn is told about once a second.
-_AGAIN_S: t.Final = 1.0
+# A task that fails at once each time logs about one line a second.
+_RESTART_DELAY_S: t.Final = 1.0
 
 
-async def keep_running(what: str, run: t.Callable[[], t.Awaitable[None]]):
-    """Run a task, and again after each error; for good.
+async def keep_running(name: str, run: t.Callable[[], t.Awaitable[None]]):
+    """Run a task forever, restarting it after each error.
 
-    One input that such a task can't bear would otherwise end the process,
-    and each life of it that meets the same input.
+    Without that, one input that makes the task fail would end the process,
+    and each later run of the process that reads the same input.
 
     Parameters
     ----------
-    what : str
-        What the task is, for the log.
+    name : str
+        Name of the task for the log.
     run : callable
-        Begins the task anew at each call.
+        Starts the task; called again after each error.
     """
     while True:
         try:
             await run()
         except* Exception as errors:
-            failures.tell('task failed', errors, task=what)
-        await trio.sleep(_AGAIN_S)
+            failures.tell('task failed', errors, task=name)
+        await trio.sleep(_RESTART_DELAY_S)
--- a/tests/tulippin/test_bundles.py
+++ b/tests/tulippin/test_bundles.py
@@ -1,4 +1,4 @@
-"""Bundles: text, signatures, and one winner at each step."""
+"""Bundles: parsing, signatures, and conflicts between operators."""
 
 import attrs
 import pytest
@@ -34,16 +34,16 @@
 [team telematics]
 cpu_millicores = 40000
 """
-PAIRS = {name: make_key() for name in ('alice', 'bob', 'eve')}
-KEYS = {name: PAIRS[name][1] for name in ('alice', 'bob')}
+KEY_PAIRS = {name: make_key() for name in ('alice', 'bob', 'eve')}
+PUBLIC_KEYS = {name: KEY_PAIRS[name][1] for name in ('alice', 'bob')}
 DIGEST = compute_digest(TEXT)
 
 
 def sign_as(operator, action, number, digest=DIGEST):
-    return sign(PAIRS[operator][0], operator, action, number, digest)
+    return sign(KEY_PAIRS[operator][0], operator, action, number, digest)
 
 
-def test_text_is_parsed():
+def test_parse_bundle():
     bundle = parse_bundle(TEXT)
     assert bundle.trial.policies == ('new', 'old')
     assert bundle.policies['new'] == InterferencePolicy(load_weight=0.4)
@@ -51,7 +51,7 @@
     assert bundle.teams['telematics'].cpu_millicores == 40000
 
 
-def test_findings_have_their_places():
+def test_findings_name_their_places():
     with pytest.raises(InputError) as caught:
         parse_bundle(
             '[trial]\npolicies = x\n[policy p]\nkind = y\nz = 1\n', 'f'
@@ -65,7 +65,7 @@
     ]
 
 
-def test_oversize_text_is_refused():
+def test_oversized_text_is_rejected():
     with pytest.raises(InputError) as caught:
         parse_bundle('#' * 70000)
     assert caught.value.code == 'too_large'
@@ -84,9 +84,9 @@
     return await store.roll(number, sign_as(operator, 'roll', number, digest))
 
 
-def test_cycle(run_virtual):
+def test_life_cycle(run_virtual):
     async def run():
-        store = BundleStore(FakeTable(), KEYS)
+        store = BundleStore(FakeTable(), PUBLIC_KEYS)
         for number in (1, 2):
             row = await propose(store)
             assert row.number == number
@@ -98,14 +98,14 @@
         await store.retire(1, sign_as('bob', 'retire', 1))
         with pytest.raises(ConflictError):
             await store.retire(2, sign_as('bob', 'retire', 2))
-        verify_row(KEYS, await store.read_rolled())
+        verify_row(PUBLIC_KEYS, await store.read_rolled())
 
     run_virtual(run)
 
 
-def test_older_bundle_is_never_rolled(run_virtual):
+def test_older_bundle_cannot_be_rolled(run_virtual):
     async def run():
-        store = BundleStore(FakeTable(), KEYS)
+        store = BundleStore(FakeTable(), PUBLIC_KEYS)
         await propose(store)
         await propose(store)
         for number in (2, 1):
@@ -119,10 +119,10 @@
 
 
 @pytest.mark.parametrize('lost', [0.0, 0.4])
-def test_racing_operators_get_one_winner(run_virtual, lost):
+def test_one_of_concurrent_rolls_succeeds(run_virtual, lost):
     async def run():
         table = FakeTable()
-        store = BundleStore(table, KEYS)
+        store = BundleStore(table, PUBLIC_KEYS)
         await propose(store)
         await approve(store, 1)
         table.faults.lost_answer_share = lost
@@ -146,9 +146,9 @@
         run_virtual(run, seed=seed)
 
 
-def test_foreign_and_forged_signatures_are_denied(run_virtual):
+def test_unknown_and_forged_signatures_are_denied(run_virtual):
     async def run():
-        store = BundleStore(FakeTable(), KEYS)
+        store = BundleStore(FakeTable(), PUBLIC_KEYS)
         with pytest.raises(DeniedError) as caught:
             await store.propose(TEXT, sign_as('eve', 'propose', 0))
         assert caught.value.code == 'unknown_operator'
@@ -159,7 +159,7 @@
         assert caught.value.code == 'bad_signature'
         await approve(store, 1)
         row = await roll(store, 1)
-        verify_row(KEYS, row)
+        verify_row(PUBLIC_KEYS, row)
         for changed in (
             attrs.evolve(row, text=f'{TEXT}#'),
             attrs.evolve(row, number=2),
@@ -167,6 +167,6 @@
             attrs.evolve(row, approved=row.proposed),
         ):
             with pytest.raises(DeniedError):
-                verify_row(KEYS, changed)
+                verify_row(PUBLIC_KEYS, changed)
 
     run_virtual(run)
--- a/tests/tulippin/test_foreign_bundles.py
+++ b/tests/tulippin/test_foreign_bundles.py
@@ -1,4 +1,4 @@
-"""Rows of bundles that another writer got wrong."""
+"""Invalid bundle rows, as another writer might leave them."""
 
 import logbook
 import pytest
@@ -17,9 +17,9 @@
 [policy new]
 kind = best_fit
 """
-PAIRS = {name: make_key() for name in ('alice', 'bob')}
-KEYS = {name: public for name, (_, public) in PAIRS.items()}
-WRONG = {
+KEY_PAIRS = {name: make_key() for name in ('alice', 'bob')}
+PUBLIC_KEYS = {name: public for name, (_, public) in KEY_PAIRS.items()}
+INVALID_ROWS = {
     'empty': b'',
     'cut off': b'{"number":1',
     'not text': b'{"number":1,"text":"\xff","rolled_number":"\xff"}',
@@ -30,8 +30,8 @@
 }
 
 
-class StandinShell:
-    """Keeps what the scheduler is told."""
+class RecordingShell:
+    """Records the events that are posted to the scheduler."""
 
     def __init__(self, store):
         self.ports = self
@@ -50,11 +50,11 @@
 
 def sign_as(operator, action, number):
     digest = compute_digest(TEXT)
-    return sign(PAIRS[operator][0], operator, action, number, digest)
+    return sign(KEY_PAIRS[operator][0], operator, action, number, digest)
 
 
-async def roll_one(store):
-    """Bring one more bundle into force."""
+async def roll_new_bundle(store):
+    """Propose, approve and roll one more bundle."""
     row = await store.propose(TEXT, sign_as('alice', 'propose', 0))
     number = row.number
     await store.approve(number, sign_as('bob', 'approve', number))
@@ -62,7 +62,7 @@
     return number
 
 
-def list_numbers(shell):
+def list_policy_numbers(shell):
     return [
         event.number
         for event in shell.posted
@@ -71,41 +71,43 @@
 
 
 @pytest.mark.parametrize('key', ['bundle-head', 'bundle/00000002'])
-@pytest.mark.parametrize('name', sorted(WRONG))
-def test_wrong_row_leaves_the_last_bundle_in_force(run_virtual, name, key):
+@pytest.mark.parametrize('name', sorted(INVALID_ROWS))
+def test_invalid_row_leaves_previous_bundle_in_force(run_virtual, name, key):
     async def run():
         store = StandinStore()
         view = store.get_view('i0')
-        bundles = BundleStore(RowTable(view), KEYS)
-        shell = StandinShell(view)
+        bundles = BundleStore(RowTable(view), PUBLIC_KEYS)
+        shell = RecordingShell(view)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(follow_bundles, shell, KEYS)
-            await roll_one(bundles)
+            nursery.start_soon(follow_bundles, shell, PUBLIC_KEYS)
+            await roll_new_bundle(bundles)
             await trio.sleep(9)
-            await roll_one(bundles)
+            await roll_new_bundle(bundles)
             rows = store.rows
-            good = rows['tulippin', 'product', key].value
-            store.write('tulippin', 'product', key, WRONG[name])
+            valid_value = rows['tulippin', 'product', key].value
+            store.write('tulippin', 'product', key, INVALID_ROWS[name])
             await trio.sleep(30)
-            assert list_numbers(shell) == [1]
-            store.write('tulippin', 'product', key, good)
+            assert list_policy_numbers(shell) == [1]
+            store.write('tulippin', 'product', key, valid_value)
             await trio.sleep(9)
-            assert list_numbers(shell) == [1, 2]
+            assert list_policy_numbers(shell) == [1, 2]
             nursery.cancel_scope.cancel()
 
     with logbook.TestHandler() as handler:
         run_virtual(run)
-    lines = [record.message for record in handler.records]
-    assert lines == ['bundle refused']
+    messages = [record.message for record in handler.records]
+    assert messages == ['bundle refused']
 
 
-@pytest.mark.parametrize('name', sorted(WRONG))
-def test_wrong_bundle_is_left_out_of_the_list(run_virtual, name):
+@pytest.mark.parametrize('name', sorted(INVALID_ROWS))
+def test_invalid_bundle_is_left_out_of_list(run_virtual, name):
     async def run():
         store = StandinStore()
-        bundles = BundleStore(RowTable(store.get_view('i0')), KEYS)
-        await roll_one(bundles)
-        store.write('tulippin', 'product', 'bundle/00000009', WRONG[name])
+        bundles = BundleStore(RowTable(store.get_view('i0')), PUBLIC_KEYS)
+        await roll_new_bundle(bundles)
+        store.write(
+            'tulippin', 'product', 'bundle/00000009', INVALID_ROWS[name]
+        )
         assert [row.number for row in await bundles.iter_all()] == [1]
 
     run_virtual(run)
--- a/tests/tulippin/test_line_buffer.py
+++ b/tests/tulippin/test_line_buffer.py
@@ -8,7 +8,7 @@
 import logbook
 import pytest
 
-from tulippin.line_buffer import _LINE_LIMIT, LineBuffer
+from tulippin.line_buffer import _MAX_LINES, LineBuffer
 
 logger = logbook.Logger('test')
 
@@ -61,7 +61,7 @@
 def test_dropped_lines_are_counted_and_told(pipe):
     lines = LineBuffer(pipe[1], {})
     with lines.applicationbound():
-        for number in range(_LINE_LIMIT + 7):
+        for number in range(_MAX_LINES + 7):
             logger.info('decided', number=number)
         assert lines.dropped_count == 7
         for _ in range(400):
--- a/tests/tulippin/test_odd_settings.py
+++ b/tests/tulippin/test_odd_settings.py
@@ -1,8 +1,8 @@
-"""Settings files with figures, ports and addresses that are none.
+"""Settings files with invalid numbers, ports and addresses.
 
-An operator's slip in a file that a running instance reads again ended the
-instance: a number of 400 digits, a grace of 1e308 s, or a port written with a
-digit of another kind raised what the reading does not catch.
+Guards against a mistake in a settings file ending a running instance that
+reloads it: a number of 400 digits, a grace of 1e308 s, or a port with a
+non-ASCII digit raised errors that the reading code didn't catch.
 """
 
 import attrs
@@ -55,8 +55,8 @@
     },
     'limits': {'max_deadline_ms': '5000', 'max_body_bytes': '1000'},
 }
-HUGE = '1' + '0' * 400
-NO_NUMBERS = (
+HUGE_NUMBER = '1' + '0' * 400
+INVALID_NUMBERS = (
     'soon',
     'nan',
     'inf',
@@ -64,45 +64,55 @@
     '1e308',
     '-1',
     '0',
-    HUGE,
-    f'-{HUGE}',
+    HUGE_NUMBER,
+    f'-{HUGE_NUMBER}',
     '1' * 5000,
     '\u00b2',
     '0x10',
     '1,5',
 )
-NUMBERS = {
+NUMBER_KEYS = {
     'instance': ('core_share', 'core_speed'),
     'workers': ('lease_limit_ms',),
     'stop': ('grace_s',),
 }
-NO_PORTS = (
+INVALID_PORTS = (
     '9000',
     '9000,',
     '9000,9009,9010',
     '\u00b2,\u00b2',
     '9000,\u0669\u0660',
     '9000,65536',
-    f'9000,{HUGE}',
+    f'9000,{HUGE_NUMBER}',
     '9009,9000',
     '-1,9000',
     'a,b',
 )
-NO_ADDRESSES = (
+INVALID_ADDRESSES = (
     '10.0.0.1',
     '10.0.0.1:',
     ':80',
     '10.0.0.1:http',
     '10.0.0.1:\u00b2',
     '10.0.0.1:65536',
-    f'10.0.0.1:{HUGE}',
+    f'10.0.0.1:{HUGE_NUMBER}',
     '10.0.0.1:-1',
     '10.0.0.1:80/path',
     'http://10.0.0.1:80',
     'a b:80',
 )
 TEXTS = st.sampled_from(
-    (*NO_NUMBERS, *NO_PORTS, *NO_ADDRESSES, '5', '2.5', 'a', '%(x)s', '[', '=')
+    (
+        *INVALID_NUMBERS,
+        *INVALID_PORTS,
+        *INVALID_ADDRESSES,
+        '5',
+        '2.5',
+        'a',
+        '%(x)s',
+        '[',
+        '=',
+    )
 )
 
 
@@ -117,31 +127,31 @@
     )
 
 
-def list_places(parse, text):
+def list_finding_places(parse, text):
     with pytest.raises(InputError) as caught:
         parse(text, 'file.ini')
     return [finding.place for finding in caught.value.findings]
 
 
-@pytest.mark.parametrize('text', NO_NUMBERS, ids=lambda text: text[:9])
+@pytest.mark.parametrize('text', INVALID_NUMBERS, ids=lambda text: text[:9])
 @pytest.mark.parametrize(
     ('section', 'key'),
-    [(section, key) for section, keys in NUMBERS.items() for key in keys],
+    [(section, key) for section, keys in NUMBER_KEYS.items() for key in keys],
 )
-def test_number_of_no_instance_is_named(section, key, text):
+def test_invalid_scheduler_number_is_reported(section, key, text):
     changed = render(SCHEDULER, section, key, text)
     place = f'file.ini: [{section}] {key}'
-    assert list_places(parse_scheduler_settings, changed) == [place]
+    assert list_finding_places(parse_scheduler_settings, changed) == [place]
 
 
-@pytest.mark.parametrize('text', NO_PORTS, ids=lambda text: text[:9])
-def test_ports_that_are_none_are_named(text):
+@pytest.mark.parametrize('text', INVALID_PORTS, ids=lambda text: text[:9])
+def test_invalid_ports_are_reported(text):
     changed = render(SCHEDULER, 'listen', 'internal_ports', text)
     place = 'file.ini: [listen] internal_ports'
-    assert list_places(parse_scheduler_settings, changed) == [place]
+    assert list_finding_places(parse_scheduler_settings, changed) == [place]
 
 
-@pytest.mark.parametrize('text', NO_ADDRESSES, ids=lambda text: text[:9])
+@pytest.mark.parametrize('text', INVALID_ADDRESSES, ids=lambda text: text[:9])
 @pytest.mark.parametrize(
     ('section', 'key'),
     [
@@ -151,13 +161,13 @@
         ('advice', 'address'),
     ],
 )
-def test_address_that_is_none_is_named(section, key, text):
+def test_invalid_scheduler_address_is_reported(section, key, text):
     changed = render(SCHEDULER, section, key, text)
     place = f'file.ini: [{section}] {key}'
-    assert list_places(parse_scheduler_settings, changed) == [place]
+    assert list_finding_places(parse_scheduler_settings, changed) == [place]
 
 
-@pytest.mark.parametrize('text', NO_NUMBERS, ids=lambda text: text[:9])
+@pytest.mark.parametrize('text', INVALID_NUMBERS, ids=lambda text: text[:9])
 @pytest.mark.parametrize(
     ('section', 'key'),
     [
@@ -167,17 +177,17 @@
         ('limits', 'max_body_bytes'),
     ],
 )
-def test_number_of_no_daemon_is_named(section, key, text):
+def test_invalid_daemon_number_is_reported(section, key, text):
     changed = render(DAEMON, section, key, text)
-    places = list_places(parse_settings, changed)
+    places = list_finding_places(parse_settings, changed)
     assert f'file.ini: [{section}] {key}' in places
 
 
-@pytest.mark.parametrize('text', NO_ADDRESSES, ids=lambda text: text[:9])
-def test_daemon_address_that_is_none_is_named(text):
+@pytest.mark.parametrize('text', INVALID_ADDRESSES, ids=lambda text: text[:9])
+def test_invalid_daemon_address_is_reported(text):
     changed = render(DAEMON, 'listen', 'peers', text)
     place = 'file.ini: [listen] peers'
-    assert list_places(parse_settings, changed) == [place]
+    assert list_finding_places(parse_settings, changed) == [place]
 
 
 def list_keys(sections):
@@ -193,7 +203,7 @@
 
 @settings(max_examples=300)
 @given(CHANGES)
-def test_settings_are_read_or_refused(changes):
+def test_settings_are_accepted_or_rejected(changes):
     sections = {name: dict(keys) for name, keys in SCHEDULER.items()}
     for (section, key), text in changes.items():
         sections[section][key] = text
@@ -207,7 +217,7 @@
 
 
 @given(st.text(max_size=200) | st.text('[]=:%;#\n ab0', max_size=80))
-def test_any_text_is_settings_or_refused(text):
+def test_any_text_is_accepted_or_rejected(text):
     for parse in (parse_scheduler_settings, parse_settings):
         try:
             found = parse(text)
@@ -216,7 +226,7 @@
         assert isinstance(found, (SchedulerSettings, Settings))
 
 
-# -- reading again -------------------------------------------------------------
+# -- reloading -----------------------------------------------------------------
 
 
 @pytest.fixture
@@ -227,32 +237,32 @@
     return SchedulerDaemon(load_scheduler_settings(path), lines, str(path))
 
 
-def spoil(path, how):
-    if how == 'gone':
+def damage(path, damage_kind):
+    if damage_kind == 'gone':
         path.unlink()
-    elif how == 'directory':
+    elif damage_kind == 'directory':
         path.unlink()
         path.mkdir()
-    elif how == 'no text':
+    elif damage_kind == 'no text':
         path.write_bytes(b'\xff\xfe\0')
-    elif how == 'empty':
+    elif damage_kind == 'empty':
         path.write_text('')
-    elif how == 'cut off':
+    elif damage_kind == 'cut off':
         path.write_text(render(SCHEDULER)[:60])
     else:
-        section, key, text = how
+        section, key, text = damage_kind
         path.write_text(render(SCHEDULER, section, key, text))
 
 
-SPOILED = (
+DAMAGES = (
     'gone',
     'directory',
     'no text',
     'empty',
     'cut off',
     ('stop', 'grace_s', '1e308'),
-    ('stop', 'grace_s', HUGE),
-    ('workers', 'lease_limit_ms', HUGE),
+    ('stop', 'grace_s', HUGE_NUMBER),
+    ('workers', 'lease_limit_ms', HUGE_NUMBER),
     ('workers', 'lease_limit_ms', '1' * 5000),
     ('listen', 'internal_ports', '\u00b2,\u00b2'),
     ('store', 'address', '10.0.0.9'),
@@ -261,19 +271,19 @@
 )
 
 
-@pytest.mark.parametrize('how', SPOILED, ids=str)
-def test_file_that_turns_wrong_changes_nothing(daemon, tmp_path, how):
+@pytest.mark.parametrize('damage_kind', DAMAGES, ids=str)
+def test_reload_of_invalid_file_changes_nothing(daemon, tmp_path, damage_kind):
     before = attrs.evolve(daemon.settings)
-    spoil(tmp_path / 'i.ini', how)
+    damage(tmp_path / 'i.ini', damage_kind)
     with logbook.TestHandler() as lines:
         daemon.reload()
     assert daemon.settings == before
     assert [one.message for one in lines.records] == ['settings refused']
 
 
-def test_file_that_is_good_again_is_read(daemon, tmp_path):
+def test_reload_of_repaired_file(daemon, tmp_path):
     path = tmp_path / 'i.ini'
-    spoil(path, 'gone')
+    damage(path, 'gone')
     daemon.reload()
     path.write_text(render(SCHEDULER, 'stop', 'grace_s', '9'))
     daemon.reload()
--- a/tests/tulippin/test_settings.py
+++ b/tests/tulippin/test_settings.py
@@ -1,11 +1,11 @@
-"""Settings: every finding at once, each with its place."""
+"""Daemon settings: all findings are reported at once, with places."""
 
 import pytest
 
 from tulippin.exceptions import InputError
 from tulippin.settings import load_settings, parse_settings
 
-GOOD = """
+VALID_SETTINGS = """
 [instance]
 id = instance-1
 failure_domain = hall-a
@@ -18,15 +18,15 @@
 """
 
 
-def get_places(text):
+def list_finding_places(text):
     with pytest.raises(InputError) as caught:
         parse_settings(text, 'file.ini')
     assert caught.value.exit_code == 2
     return [finding.place for finding in caught.value.findings]
 
 
-def test_good_settings():
-    settings = parse_settings(GOOD)
+def test_valid_settings():
+    settings = parse_settings(VALID_SETTINGS)
     assert settings.config.instance_id == 'instance-1'
     assert settings.config.peer_address == '10.0.0.1:8082'
     assert settings.platform_url == 'http://10.0.0.9:9000'
@@ -51,7 +51,7 @@
 operators_certificate = /nowhere.pem
 [colour]
 """
-    assert get_places(text) == [
+    assert list_finding_places(text) == [
         'file.ini: [colour]',
         'file.ini: [listen] callers',
         'file.ini: [listen] operators',
@@ -68,11 +68,11 @@
     ]
 
 
-def test_text_that_is_no_ini_is_a_finding():
-    assert get_places('no section here') == ['file.ini']
+def test_text_that_is_not_ini_is_a_finding():
+    assert list_finding_places('no section here') == ['file.ini']
 
 
-def test_missing_file_has_a_code():
+def test_missing_file_has_error_code():
     with pytest.raises(InputError) as caught:
         load_settings('/nowhere/settings.ini')
     assert caught.value.code == 'no_settings'
