--- a/src/tulippin/_bundle_effects.py
+++ b/src/tulippin/_bundle_effects.py
@@ -1,4 +1,4 @@
-"""Effects on bundles, for one instance."""
+"""Performs effects on bundles."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 if t.TYPE_CHECKING:
     from tulippin.shell import Shell
 
-_TIMEOUT_S: t.Final = 2.0
+_CALL_TIMEOUT_S: t.Final = 2.0
 
 
 class BundleEffects:
-    """Verifies, fetches and marks bundles for a shell.
+    """Verifies and fetches bundles, and marks them as in force.
 
     Parameters
     ----------
     shell : Shell
-        Whose effects these are.
+        The shell that requests the effects and gets the events.
     """
 
     def __init__(self, shell: Shell) -> None:
         self._shell = shell
 
     def verify_bundle(self, effect: fx.VerifyBundle) -> None:
-        """Check a bundle's signatures and text."""
+        """Verify a bundle's signatures and parse its text."""
         bundle = None
         try:
             row = codec.decode(effect.approved, BundleRow)
@@ -45,22 +45,22 @@
         )
 
     async def fetch_bundle(self, effect: fx.FetchBundle) -> None:
-        """Ask one instance for its bundle."""
-        with trio.move_on_after(_TIMEOUT_S):
+        """Fetch and post the bundle of a peer, if it has one."""
+        with trio.move_on_after(_CALL_TIMEOUT_S):
             try:
-                sent = await self._shell.ports.peers.fetch_bundle(
+                message = await self._shell.ports.peers.fetch_bundle(
                     effect.address
                 )
             except UnavailableError:
                 return
-            if sent is not None:
+            if message is not None:
                 self._shell.post(
-                    ev.BundleFetched(0, sent.number, sent.approved)
+                    ev.BundleFetched(0, message.number, message.approved)
                 )
 
     async def mark_in_force(self, effect: fx.MarkInForce) -> None:
-        """Note in the table that all hold a bundle; a failure is retried."""
-        with trio.move_on_after(_TIMEOUT_S):
+        """Mark a bundle as in force; the reducer retries a failure."""
+        with trio.move_on_after(_CALL_TIMEOUT_S):
             try:
                 await self._shell.bundles.mark_in_force(effect.number)
             except TulippinError:
--- a/src/tulippin/_network_effects.py
+++ b/src/tulippin/_network_effects.py
@@ -1,4 +1,4 @@
-"""Effects on peers, workers and endpoints, for one instance."""
+"""Performs effects on peers, workers and endpoints."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 _PEER_TIMEOUT_S: t.Final = 2.0
 _SYNC_TIMEOUT_S: t.Final = 2.0
-_PEER_PAUSE_S: t.Final = 0.2
-_PEER_BATCH: t.Final = 2000
-_PEER_QUEUE: t.Final = 50000
-_LINK_IDLE_S: t.Final = 60.0
-_FLUSH_PAUSE_S: t.Final = 0.02
-_MS: t.Final = 1000
+_PEER_FAILURE_DELAY_S: t.Final = 0.2
+_MAX_BATCH_MESSAGES: t.Final = 2000
+_MAX_QUEUED_MESSAGES: t.Final = 50000
+_LINK_IDLE_TIMEOUT_S: t.Final = 60.0
+_FLUSH_POLL_INTERVAL_S: t.Final = 0.02
+_MS_PER_S: t.Final = 1000
 
 
 @attrs.define
 class PeerLink:
-    """Messages that wait for one peer, one envelope in flight."""
+    """The queue of messages to one peer, with one envelope in flight."""
 
     session_id: str
     address: str
@@ -41,12 +41,12 @@
 
 
 class NetworkEffects:
-    """Messages and calls of a shell.
+    """Sends messages to peers, and calls workers and endpoints.
 
     Parameters
     ----------
     shell : Shell
-        Whose effects these are.
+        The shell that requests the effects and gets the events.
     """
 
     def __init__(self, shell: Shell) -> None:
@@ -54,23 +54,24 @@
         self._links: dict[str, PeerLink] = {}
 
     def send_peer(self, effect: fx.SendPeer) -> None:
-        """Queue messages for a peer."""
+        """Queue messages for a peer; drop them if its queue is full."""
         link = self._links.get(effect.session_id)
         if link is None:
             link = PeerLink(effect.session_id, effect.address)
             self._links[effect.session_id] = link
             self._shell.start(self._run_link, link)
-        if len(link.queue) < _PEER_QUEUE:
+        if len(link.queue) < _MAX_QUEUED_MESSAGES:
             link.queue.extend(effect.messages)
         link.ready.set()
 
     async def flush(self) -> None:
-        """Wait until every message has been sent, or is lost."""
+        """Wait until each queued message was delivered or has failed."""
         while any(one.queue or one.sending for one in self._links.values()):
-            await trio.sleep(_FLUSH_PAUSE_S)
+            await trio.sleep(_FLUSH_POLL_INTERVAL_S)
 
     async def _run_link(self, link: PeerLink) -> None:
-        idle_s = _LINK_IDLE_S
+        """Send the messages of a link until it has been idle for long."""
+        idle_s = _LINK_IDLE_TIMEOUT_S
         while True:
             with trio.move_on_after(idle_s) as scope:
                 await link.ready.wait()
@@ -84,7 +85,7 @@
                 link.sending = False
 
     async def _send_batch(self, link: PeerLink) -> None:
-        count = min(_PEER_BATCH, len(link.queue))
+        count = min(_MAX_BATCH_MESSAGES, len(link.queue))
         messages = tuple(link.queue.popleft() for _ in range(count))
         link.sequence = max(link.sequence + 1, self._shell.clock())
         envelope = Envelope(
@@ -103,10 +104,10 @@
                 delivered = True
         if not delivered:
             self._shell.post(ev.PeerFailed(0, link.session_id, messages))
-            await trio.sleep(_PEER_PAUSE_S)
+            await trio.sleep(_PEER_FAILURE_DELAY_S)
 
     async def sync_worker(self, effect: fx.SyncWorker) -> None:
-        """Send a worker its sync and take its report."""
+        """Send a sync to a worker and post its report."""
         sync = effect.sync
         event: ev.Event = ev.WorkerFailed(
             0, sync.worker_id, sync.epoch, sync.sequence
@@ -127,14 +128,14 @@
         self._shell.post(event)
 
     async def call_endpoint(self, effect: fx.CallEndpoint) -> None:
-        """Send one request to an endpoint, once."""
-        began = trio.current_time()
+        """Send one request to an endpoint without retries."""
+        started_s = trio.current_time()
         reply = EndpointReply(RequestOutcome(OutcomeKind.UNKNOWN, 'timeout'))
-        with trio.move_on_after(effect.timeout_ms / _MS):
+        with trio.move_on_after(effect.timeout_ms / _MS_PER_S):
             reply = await self._shell.ports.endpoints.call(
                 effect.address, effect.request, effect.epoch
             )
-        elapsed_ms = (trio.current_time() - began) * _MS
+        elapsed_ms = (trio.current_time() - started_s) * _MS_PER_S
         self._shell.post(
             ev.EndpointReplied(
                 0,
--- a/src/tulippin/_perform.py
+++ b/src/tulippin/_perform.py
@@ -1,4 +1,4 @@
-"""Which task carries out which effect."""
+"""Dispatch of effects to the tasks that perform them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @functools.singledispatch
 def perform(effect: fx.Effect, shell: Shell) -> None:
-    """Begin one effect."""
+    """Start performing an effect, without waiting for it."""
     raise NotImplementedError(type(effect))
 
 
@@ -29,7 +29,7 @@
 
 @perform.register(fx.Leave)
 def _(effect: fx.Leave, shell: Shell) -> None:
-    """Do nothing: closing the session sets ``left``."""
+    """Do nothing, as closing the session sets ``left``."""
 
 
 @perform.register(fx.RenewLease)
--- a/src/tulippin/_session_effects.py
+++ b/src/tulippin/_session_effects.py
@@ -1,4 +1,4 @@
-"""Effects on the table and the object store, for one instance."""
+"""Performs effects on the table and the object store."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     from tulippin.shell import Shell
 
 _TABLE_TIMEOUT_S: t.Final = 2.0
-_OPEN_PAUSE_S: t.Final = 0.5
+_REOPEN_DELAY_S: t.Final = 0.5
 
 
 class SessionEffects:
-    """Sessions, leases, ownership, journal and units of a shell.
+    """Performs effects on session, lease, ownership, journal and units.
 
     Parameters
     ----------
     shell : Shell
-        Whose effects these are.
+        The shell that requests the effects and gets the events.
     """
 
     def __init__(self, shell: Shell) -> None:
@@ -59,7 +59,7 @@
         )
 
     async def open_session(self) -> None:
-        """Open a new session, however long the table does not answer."""
+        """Open a new session, retrying while the table is unavailable."""
         nonce = f'{self._shell.random.getrandbits(48):012x}'
         session_id = f'{self._shell.config.instance_id}:{nonce}'
         store = SessionStore(
@@ -76,7 +76,7 @@
         try:
             await store.open(lease)
         except FencedError:
-            await trio.sleep(_OPEN_PAUSE_S)
+            await trio.sleep(_REOPEN_DELAY_S)
             self._shell.start(self.open_session)
             return
         self._store = store
@@ -91,13 +91,13 @@
         )
 
     async def close_session(self, effect: fx.CloseSession) -> None:
-        """Close the session; a failure is left to its lease's end."""
+        """Close the session; if that fails, its lease expires instead."""
         with (
             trio.move_on_after(_TABLE_TIMEOUT_S),
             contextlib.suppress(TulippinError),
         ):
             await self._get_store(effect.session_id).close()
-        # Peers may still wait for the outcome of what they forwarded.
+        # Peers may still wait for outcomes of requests that they forwarded.
         with trio.move_on_after(_TABLE_TIMEOUT_S):
             await self._shell.network.flush()
         self._shell.left.set()
@@ -108,7 +108,7 @@
         return self._store
 
     async def renew(self, effect: fx.RenewLease) -> None:
-        """Renew the lease once and say what came of it."""
+        """Try once to renew the lease and post the result."""
         sent_ms = self._shell.clock()
         session_id = effect.session_id
         lease = self._make_lease(
@@ -130,7 +130,7 @@
         self._shell.post(event)
 
     async def poll(self) -> None:
-        """Read membership and the bundle's head."""
+        """Read membership and the rolled bundle, and post them."""
         event: ev.Event = ev.TableFailed(0)
         with trio.move_on_after(_TABLE_TIMEOUT_S):
             try:
@@ -151,7 +151,7 @@
         self._shell.post(event)
 
     async def list_instances(self) -> None:
-        """Read the platform's list; an old one stays in use."""
+        """Read the platform's list; if that fails, the last one stays in use."""
         with trio.move_on_after(_TABLE_TIMEOUT_S):
             try:
                 listed = await self._shell.ports.directory.list_instances()
@@ -162,7 +162,7 @@
             )
 
     async def write_ownership(self, effect: fx.WriteOwnership) -> None:
-        """Replace the ownership row, once its bases are stored."""
+        """Store the bases, then replace the ownership row."""
         for key, body in effect.bases:
             await put_object(self._shell.ports.objects, key, body)
         ownership = attrs.evolve(
@@ -188,7 +188,7 @@
         )
 
     async def commit(self, effect: fx.CommitJournal) -> None:
-        """Make a row durable, or learn that the session is over."""
+        """Write a journal row, or post that the session was revoked."""
         try:
             await self._get_store(effect.session_id).commit_row(
                 effect.sequence, effect.records
@@ -201,7 +201,7 @@
             )
 
     async def publish(self, effect: fx.PublishSnapshot) -> None:
-        """Publish a snapshot, or say that there is none."""
+        """Publish a snapshot, or post that this failed."""
         event: ev.Event = ev.SnapshotFailed(0, effect.session_id)
         try:
             await self._get_store(effect.session_id).publish(
@@ -214,7 +214,7 @@
         self._shell.post(event)
 
     async def load_unit(self, effect: fx.LoadUnit) -> None:
-        """Read a unit's state for its new owner."""
+        """Load a unit's state, unless the session has ended."""
         try:
             store = self._get_store(effect.session_id)
             ledger = await store.load_unit(effect.unit, effect.holder)
--- a/src/tulippin/effects.py
+++ b/src/tulippin/effects.py
@@ -1,4 +1,4 @@
-"""Effects: everything that the reducer asks the shell to do."""
+"""Effects: the only output of the reducer, performed by the shell."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @attrs.frozen
 class Effect:
-    """Base of all effects."""
+    """Base class of all effects."""
 
 
 @attrs.frozen
 class OpenSession(Effect):
-    """Put a new session into the table; retried until it is there."""
+    """Write a new session to the table, retrying until that succeeds."""
 
 
 @attrs.frozen
 class CloseSession(Effect):
-    """Delete the session's rows; the instance has left."""
+    """Close the session and delete its lease, as the instance leaves."""
 
     session_id: str
 
@@ -46,17 +46,17 @@
 
 @attrs.frozen
 class ListWorkers(Effect):
-    """Read the platform's list."""
+    """Read the platform's list of workers and instances."""
 
 
 @attrs.frozen
 class WriteOwnership(Effect):
-    """Replace the ownership row if it still has the version.
+    """Replace the ownership row if it still has the expected version.
 
-    Sessions in ``revoke`` are revoked in the same transaction, which
-    fences their journals; each only if its lease row still has the
-    version that was watched (zero: the row is gone). ``bases`` are put
-    into the object store first.
+    Sessions in ``revoke`` are revoked in the same transaction, which fences
+    their journals. That requires each lease row to have the version that was
+    last observed (0: the row is absent). ``bases`` are written to the object
+    store beforehand.
     """
 
     session_id: str
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class CommitJournal(Effect):
-    """Make records durable as one row."""
+    """Write records to the journal as one row."""
 
     session_id: str
     sequence: int
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class PublishSnapshot(Effect):
-    """Publish the state of all owned units after ``sequence``."""
+    """Publish the state of all owned units as of ``sequence``."""
 
     session_id: str
     sequence: int
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class LoadUnit(Effect):
-    """Read a unit's state from its last owner and publish it."""
+    """Read a unit's state as its last owner left it."""
 
     session_id: str
     unit: str
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class SendPeer(Effect):
-    """Send messages to a peer's session, after those sent before."""
+    """Send messages to a peer's session, in order with earlier ones."""
 
     session_id: str
     address: str
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class CallEndpoint(Effect):
-    """Send a request to a service's task on a worker, once."""
+    """Send a request to a service's task on a worker, without retries."""
 
     dispatch_id: int
     worker_id: str
@@ -125,7 +125,7 @@
 
 @attrs.frozen
 class AnswerRequest(Effect):
-    """Give a caller the outcome of its request."""
+    """Return the outcome of a request to its caller."""
 
     call_id: int
     outcome: RequestOutcome
@@ -133,7 +133,7 @@
 
 @attrs.frozen
 class AnswerJob(Effect):
-    """Give a caller the reply to its job operation."""
+    """Return the reply to a job operation to its caller."""
 
     call_id: int
     reply: JobReply
@@ -141,7 +141,7 @@
 
 @attrs.frozen
 class AnswerReport(Effect):
-    """Give an operator the parts of a merged report."""
+    """Return the parts of a merged report to an operator."""
 
     call_id: int
     bodies: tuple[str, ...]
@@ -150,7 +150,7 @@
 
 @attrs.frozen
 class VerifyBundle(Effect):
-    """Check an approved bundle's signatures; ``BundleLearned`` follows."""
+    """Verify an approved bundle; the result is ``BundleLearned``."""
 
     number: int
     approved: str
@@ -158,7 +158,7 @@
 
 @attrs.frozen
 class FetchBundle(Effect):
-    """Ask the instance at an address for the bundle that it holds."""
+    """Fetch the bundle that the instance at an address holds."""
 
     address: str
 
@@ -172,7 +172,7 @@
 
 @attrs.frozen
 class ObserveLatency(Effect):
-    """Count one service request for the metrics."""
+    """Record one service request in the metrics."""
 
     service: str
     policy: str
@@ -184,4 +184,4 @@
 
 @attrs.frozen
 class Leave(Effect):
-    """All is handed over: the process may exit."""
+    """All units are handed over; the process may exit."""
--- a/src/tulippin/events.py
+++ b/src/tulippin/events.py
@@ -1,7 +1,7 @@
-"""Events: everything that the reducer is told.
+"""Events: the only input of the reducer.
 
-Each event carries ``at_ms``, a monotonic time that counts suspension;
-the reducer knows no other clock.
+Each event carries ``at_ms``, a monotonic time that counts suspension. It is
+the reducer's only clock.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 @attrs.frozen
 class Event:
-    """Base of all events."""
+    """Base class of all events."""
 
     at_ms: int
 
 
 @attrs.frozen
 class Ticked(Event):
-    """Time has passed."""
+    """Periodic event, so that the reducer acts on elapsed time."""
 
 
 @attrs.frozen
 class SessionOpened(Event):
-    """The table holds this instance's new session."""
+    """The instance's new session was written to the table."""
 
     session_id: str
     sent_ms: int
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class LeaseRenewed(Event):
-    """A renewal that was sent at ``sent_ms`` has taken effect."""
+    """The renewal sent at ``sent_ms`` took effect."""
 
     session_id: str
     sent_ms: int
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class LeaseFailed(Event):
-    """A renewal that was sent at ``sent_ms`` did not surely take effect."""
+    """The renewal sent at ``sent_ms`` may not have taken effect."""
 
     session_id: str
     sent_ms: int
@@ -58,14 +58,14 @@
 
 @attrs.frozen
 class SessionRevoked(Event):
-    """The table says that this session is over."""
+    """The session was revoked in the table."""
 
     session_id: str
 
 
 @attrs.frozen
 class TablePolled(Event):
-    """What the table holds about membership and bundles."""
+    """The table's current state of membership and bundles."""
 
     ownership: Ownership
     ownership_version: int
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class WorkersListed(Event):
-    """The platform's lagging list of workers."""
+    """The platform's list of workers and instances, which may lag."""
 
     workers: tuple[WorkerInfo, ...]
     instances: tuple[str, ...]
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class OwnershipWritten(Event):
-    """A change of ownership has taken effect."""
+    """A change of ownership took effect."""
 
     ownership: Ownership
     ownership_version: int
@@ -101,7 +101,7 @@
 class OwnershipRefused(Event):
     """Another instance changed the ownership first.
 
-    The row as it is now comes along: units that it gives to others must
+    The event holds the current row: units that it assigns to others must
     be dropped before anything else is done for them.
     """
 
@@ -134,7 +134,7 @@
 
 @attrs.frozen
 class UnitLoaded(Event):
-    """The durable state of a unit is read and published for an epoch."""
+    """The durable state of a unit was loaded for an epoch."""
 
     session_id: str
     unit: str
@@ -144,7 +144,7 @@
 
 @attrs.frozen
 class PeerReceived(Event):
-    """Messages of one peer, in their order."""
+    """Messages from one peer, in order."""
 
     session_id: str
     instance_id: str
@@ -154,7 +154,7 @@
 
 @attrs.frozen
 class PeerFailed(Event):
-    """Messages to a peer may be lost."""
+    """Delivery to a peer failed; its messages may be lost."""
 
     session_id: str
     messages: tuple[t.Any, ...] = ()
@@ -172,7 +172,7 @@
 
 @attrs.frozen
 class WorkerFailed(Event):
-    """A sync may not have reached its worker, or was refused."""
+    """A sync got no valid answer, or was refused for its epoch."""
 
     worker_id: str
     epoch: int
@@ -182,7 +182,7 @@
 
 @attrs.frozen
 class RequestArrived(Event):
-    """A caller asks for a service."""
+    """A caller sent a request to a service."""
 
     call_id: int
     request: ServiceRequest
@@ -190,7 +190,7 @@
 
 @attrs.frozen
 class EndpointReplied(Event):
-    """An endpoint's attempt ended."""
+    """A request that was sent to an endpoint ended."""
 
     dispatch_id: int
     outcome: RequestOutcome
@@ -202,7 +202,7 @@
 
 @attrs.frozen
 class JobRequested(Event):
-    """A caller operates on a job."""
+    """A caller requested an operation on a job."""
 
     call_id: int
     action: str
@@ -214,7 +214,7 @@
 
 @attrs.frozen
 class ReportRequested(Event):
-    """An operator asks for a report merged over all instances."""
+    """An operator requested a report merged over all instances."""
 
     call_id: int
     kind: str
@@ -222,21 +222,21 @@
 
 @attrs.frozen
 class CallExpired(Event):
-    """A caller's or operator's call has waited long enough."""
+    """A caller's or operator's call timed out."""
 
     call_id: int
 
 
 @attrs.frozen
 class StopRequested(Event):
-    """The instance is to leave in a planned way."""
+    """A planned stop of the instance was requested."""
 
 
 @attrs.frozen
 class BundleLearned(Event):
-    """A verified bundle, from the table or from a peer.
+    """The shell verified a bundle from the table or from a peer.
 
-    The shell has checked the signatures; ``number`` orders bundles.
+    ``bundle`` is absent if that failed; ``number`` orders bundles.
     """
 
     number: int
@@ -246,7 +246,7 @@
 
 @attrs.frozen
 class BundleFetched(Event):
-    """A peer's bundle, not yet verified."""
+    """A bundle was fetched from a peer and is not yet verified."""
 
     number: int
     approved: str
--- a/src/tulippin/ports.py
+++ b/src/tulippin/ports.py
@@ -1,4 +1,7 @@
-"""Narrow interfaces to everything outside; one adapter module each."""
+"""Interfaces between an instance and its environment.
+
+Each is implemented by one adapter module, and by a fake for tests.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @attrs.frozen
 class Row:
-    """A row of the table; its version rises with every write."""
+    """A row of the table; each write increases its version."""
 
     value: str
     version: int
@@ -21,7 +24,7 @@
 
 @attrs.frozen
 class Condition:
-    """A transaction's demand: the row has this version; 0 is absent."""
+    """A transaction's condition on a row's version; 0 means absent."""
 
     key: str
     version: int
@@ -29,7 +32,7 @@
 
 @attrs.frozen
 class Write:
-    """A transaction's change of one row; no value deletes it."""
+    """A transaction's change of one row; a value of ``None`` deletes it."""
 
     key: str
     value: str | None
@@ -38,12 +41,12 @@
 class Table(t.Protocol):
     """The platform's transactional table service.
 
-    Every method raises ``UnavailableError`` if it surely did nothing;
-    ``commit`` raises ``AnswerLostError`` if it may have taken effect.
+    Each method raises ``UnavailableError`` if it certainly had no effect;
+    ``commit`` raises ``AnswerLostError`` if it may have had one.
     """
 
     async def get(self, key: str) -> Row | None:
-        """Return a row."""
+        """Return a row, or nothing if it is absent."""
 
     async def scan(self, prefix: str) -> list[tuple[str, Row]]:
         """Return all rows whose key begins with a prefix, in key order."""
@@ -54,26 +57,26 @@
         """Apply all writes if all conditions hold.
 
         Returns the version of the rows written, or 0 if a condition
-        did not hold and nothing was done.
+        did not hold and nothing was written.
         """
 
 
 class Objects(t.Protocol):
-    """The platform's object store; an object is written whole."""
+    """The platform's object store; objects are written atomically."""
 
     async def put(self, key: str, body: bytes) -> None:
         """Write an object."""
 
     async def get(self, key: str) -> bytes | None:
-        """Return an object."""
+        """Return an object, or nothing if it is absent."""
 
     async def delete(self, key: str) -> None:
-        """Delete an object, if it is there."""
+        """Delete an object if it exists."""
 
 
 @attrs.frozen
 class InstanceList:
-    """The platform's lagging list: workers, and our own instances."""
+    """The platform's list of workers and instances, which may lag."""
 
     workers: tuple[WorkerInfo, ...]
     instances: tuple[str, ...]
@@ -83,33 +86,33 @@
     """The platform's list of live and leaving instances."""
 
     async def list_instances(self) -> InstanceList:
-        """Return the list as the platform has it now."""
+        """Return the platform's current list."""
 
 
 class Workers(t.Protocol):
-    """The agents that the platform runs on its workers."""
+    """The platform's agents on the workers."""
 
     async def sync(self, address: str, message: WorkerSync) -> WorkerReport:
         """Send a sync and return the report.
 
-        Raises ``FencedError`` if the worker saw a higher epoch.
+        Raises ``FencedError`` if the worker has seen a higher epoch.
         """
 
 
 @attrs.frozen
 class EndpointReply:
-    """What came of one request sent to an endpoint.
+    """The result of one request to an endpoint.
 
     Parameters
     ----------
     outcome : RequestOutcome
-        The outcome, with the body as far as it came.
+        The outcome, with the part of the body that was received.
     leaving : bool
-        The endpoint says that it is leaving.
+        Whether the endpoint announced that it is leaving.
     request_id : str
-        The request that the answer names as its own.
+        Id of the request that the answer refers to.
     body_bytes : int
-        The length that the answer gives for its body.
+        Length of the body according to the answer.
     """
 
     outcome: RequestOutcome
@@ -119,17 +122,17 @@
 
 
 class Endpoints(t.Protocol):
-    """The services' tasks, by their worker's address."""
+    """The services' tasks, addressed by their workers."""
 
     async def call(
         self, address: str, request: ServiceRequest, epoch: int
     ) -> EndpointReply:
-        """Send one request, once, and return its outcome."""
+        """Send one request without retries and return its outcome."""
 
 
 @attrs.frozen
 class Envelope:
-    """Messages of one session to another, in order."""
+    """Messages from one session to another, in order."""
 
     session_id: str
     instance_id: str
@@ -141,7 +144,7 @@
     """The other instances."""
 
     async def deliver(self, address: str, envelope: Envelope) -> None:
-        """Deliver an envelope; an error means that it may be lost."""
+        """Deliver an envelope; after an error it may be lost."""
 
     async def fetch_bundle(self, address: str) -> BundleSent | None:
         """Return the bundle that the instance at an address holds."""
@@ -149,7 +152,7 @@
 
 @attrs.frozen
 class Ports:
-    """Everything that a shell reaches."""
+    """All interfaces that a shell uses."""
 
     table: Table
     objects: Objects
--- a/src/tulippin/shell.py
+++ b/src/tulippin/shell.py
@@ -1,6 +1,6 @@
 """The shell: performs effects and turns their results into events.
 
-One shell runs one instance, in a daemon or under virtual time alike.
+One shell runs one instance, in a daemon or in a test with virtual time.
 """
 
 from __future__ import annotations
@@ -33,38 +33,38 @@
 from tulippin.store import collect_garbage
 from tulippin.types import JobSpec
 
-_TICK_S: t.Final = 0.05
-_GARBAGE_EVERY_S: t.Final = 60.0
-_MS: t.Final = 1000
+_TICK_INTERVAL_S: t.Final = 0.05
+_GARBAGE_INTERVAL_S: t.Final = 60.0
+_MS_PER_S: t.Final = 1000
 
 Clock = t.Callable[[], int]
 
 
 @attrs.define
-class Waiter:
-    """A call from outside that waits for its answer."""
+class PendingCall:
+    """An external call that waits for its answer."""
 
     done: trio.Event = attrs.field(factory=trio.Event)
     answer: t.Any = None
 
 
 class Shell:
-    """Runs one instance; an asynchronous context manager.
+    """Runs the event loop of one instance; an async context manager.
 
     Parameters
     ----------
     config : Config
-        What the instance knows from its settings.
+        The instance's settings.
     ports : Ports
-        Everything outside.
+        Interfaces to the instance's environment.
     keys : mapping of str to str
-        Operators' public keys, to verify bundles.
+        Operators' public keys in hex by name, to verify bundles.
     clock : callable
         Returns monotonic milliseconds that count suspension.
     wall : callable
         Returns the time of day in milliseconds.
     seed : int
-        For everything random in this instance.
+        Seed of the instance's random number generator.
     recorder : callable, optional
         Called with each event and its effects.
     """
@@ -98,9 +98,9 @@
         self.bundle_effects = BundleEffects(self)
         self._inbox: collections.deque[ev.Event] = collections.deque()
         self._wake = trio.Event()
-        self._waiters: dict[int, Waiter] = {}
-        self._next_call = 1
-        self._greeted = ''
+        self._pending_calls: dict[int, PendingCall] = {}
+        self._next_call_id = 1
+        self._ready_session_id = ''
         self._nursery: trio.Nursery | None = None
         self._manager: t.Any = None
 
@@ -110,19 +110,19 @@
         self._nursery = await self._manager.__aenter__()
         self._nursery.start_soon(self._tick)
         self._nursery.start_soon(self._run)
-        self._nursery.start_soon(self._collect)
+        self._nursery.start_soon(self._collect_garbage)
         return self
 
     async def __aexit__(self, *details: t.Any) -> None:
-        """Stop at once, as a crash would."""
+        """Stop immediately, without handing over, as a crash would."""
         self._nursery.cancel_scope.cancel()
         await self._manager.__aexit__(*details)
 
-    # -- calls from outside ------------------------------------------------
+    # -- external calls ----------------------------------------------------
 
     async def request(self, request: ServiceRequest) -> RequestOutcome:
-        """Carry a caller's request; ``deadline_ms`` is time remaining."""
-        call_id, waiter = self._open_call()
+        """Perform a caller's request; ``deadline_ms`` is its remaining time."""
+        call_id, pending_call = self._open_call()
         deadline_ms = self.clock() + request.deadline_ms
         self.post(
             ev.RequestArrived(
@@ -131,7 +131,9 @@
                 attrs.evolve(request, deadline_ms=deadline_ms),
             )
         )
-        return t.cast(RequestOutcome, await self._wait(call_id, waiter))
+        return t.cast(
+            RequestOutcome, await self._wait_for_answer(call_id, pending_call)
+        )
 
     async def operate_job(
         self,
@@ -140,23 +142,27 @@
         spec: JobSpec | None = None,
         digest: str = '',
     ) -> JobReply:
-        """Carry a caller's operation on a job."""
-        call_id, waiter = self._open_call()
+        """Perform a caller's operation on a job."""
+        call_id, pending_call = self._open_call()
         self.post(
             ev.JobRequested(
                 self.clock(), call_id, action, job_id, '', spec, digest
             )
         )
-        return t.cast(JobReply, await self._wait(call_id, waiter))
+        return t.cast(
+            JobReply, await self._wait_for_answer(call_id, pending_call)
+        )
 
     async def report(self, kind: str) -> fx.AnswerReport:
-        """Return the parts of a report from all instances."""
-        call_id, waiter = self._open_call()
+        """Collect the parts of a report from all instances."""
+        call_id, pending_call = self._open_call()
         self.post(ev.ReportRequested(self.clock(), call_id, kind))
-        return t.cast(fx.AnswerReport, await self._wait(call_id, waiter))
+        return t.cast(
+            fx.AnswerReport, await self._wait_for_answer(call_id, pending_call)
+        )
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in a peer's messages."""
+        """Post the messages of a peer as an event."""
         self.post(
             ev.PeerReceived(
                 self.clock(),
@@ -168,10 +174,11 @@
         )
 
     def get_unready(self) -> str:
-        """Return why callers should go elsewhere, or an empty text.
+        """Return why the instance is not ready, or an empty text.
 
-        A peer that has been heard knows this session, and so can reply;
-        a session asks that once, not at each newcomer.
+        A peer from which messages were received knows this session and can
+        reply to it. A session waits for that only until it is first ready,
+        not for each peer that joins later.
         """
         state = self.state
         standing = state.session.standing
@@ -179,50 +186,52 @@
             return 'no session: the table does not answer'
         if not state.ownership.units:
             return 'no units are known yet'
-        if self._greeted == state.session.session_id:
+        if self._ready_session_id == state.session.session_id:
             return ''
         limit_ms = state.config.silence_limit_ms
-        unheard = any(
+        awaits_peers = any(
             peer.last_heard_ms < 0
             and state.now_ms - peer.first_seen_ms < limit_ms
             for peer in state.peers.values()
         )
-        if unheard:
+        if awaits_peers:
             return 'peers are not heard yet'
-        self._greeted = state.session.session_id
+        self._ready_session_id = state.session.session_id
         return ''
 
     def stop(self) -> None:
-        """Begin a planned stop; ``left`` is set at its end."""
+        """Begin a planned stop; ``left`` is set when it is complete."""
         self.post(ev.StopRequested(self.clock()))
 
     def post(self, event: ev.Event) -> None:
-        """Put an event into the inbox."""
+        """Add an event to the inbox and wake the event loop."""
         self._inbox.append(event)
         self._wake.set()
 
-    def _open_call(self) -> tuple[int, Waiter]:
-        call_id = self._next_call
-        self._next_call += 1
-        waiter = Waiter()
-        self._waiters[call_id] = waiter
-        return call_id, waiter
+    def _open_call(self) -> tuple[int, PendingCall]:
+        call_id = self._next_call_id
+        self._next_call_id += 1
+        pending_call = PendingCall()
+        self._pending_calls[call_id] = pending_call
+        return call_id, pending_call
 
-    async def _wait(self, call_id: int, waiter: Waiter) -> t.Any:
+    async def _wait_for_answer(
+        self, call_id: int, pending_call: PendingCall
+    ) -> t.Any:
         try:
-            await waiter.done.wait()
+            await pending_call.done.wait()
         finally:
-            self._waiters.pop(call_id, None)
-        return waiter.answer
+            self._pending_calls.pop(call_id, None)
+        return pending_call.answer
 
     def answer(self, call_id: int, answer: t.Any) -> None:
-        """Give a waiting call its answer."""
-        waiter = self._waiters.get(call_id)
-        if waiter is not None:
-            waiter.answer = answer
-            waiter.done.set()
+        """Complete a waiting call with its answer."""
+        pending_call = self._pending_calls.get(call_id)
+        if pending_call is not None:
+            pending_call.answer = answer
+            pending_call.done.set()
 
-    # -- the loop ----------------------------------------------------------
+    # -- event loop --------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
@@ -234,10 +243,10 @@
             await trio.lowlevel.checkpoint()
 
     def step(self, event: ev.Event) -> None:
-        """Reduce one event and begin its effects.
+        """Reduce one event and start its effects.
 
-        The event's time is that of its handling: a pause between the
-        two must not hide from the lease.
+        The event gets the time at which it is handled, so that a delay in
+        the inbox counts towards the expiry of the lease.
         """
         event = attrs.evolve(event, at_ms=self.clock())
         effects = core.reduce(self.state, event)
@@ -249,39 +258,45 @@
     async def _tick(self) -> None:
         while True:
             self.post(ev.Ticked(self.clock()))
-            await trio.sleep(_TICK_S)
+            await trio.sleep(_TICK_INTERVAL_S)
+
+    async def _collect_garbage(self) -> None:
+        """Clear ended sessions periodically.
 
-    async def _collect(self) -> None:
-        """Clear ended sessions, one instance at a time by chance."""
+        The random interval makes it unlikely that instances do so at once.
+        """
         while True:
-            await trio.sleep(_GARBAGE_EVERY_S * (1 + self.random.random()))
+            await trio.sleep(_GARBAGE_INTERVAL_S * (1 + self.random.random()))
             with (
-                trio.move_on_after(_GARBAGE_EVERY_S),
+                trio.move_on_after(_GARBAGE_INTERVAL_S),
                 contextlib.suppress(UnavailableError),
             ):
-                await self._collect_once()
+                await self._collect_garbage_once()
+
+    async def _collect_garbage_once(self) -> None:
+        """Clear ended sessions, unless an unreadable row prevents it.
 
-    async def _collect_once(self) -> None:
-        """Clear ended sessions, unless a row hides which ones are needed."""
+        Such a row may refer to sessions that are still needed.
+        """
         try:
             await collect_garbage(self.ports.table, self.ports.objects)
         except InputError as error:
             logger.error('sessions not cleared', reason=error.message)
 
     def start(self, task: t.Callable[..., t.Awaitable[None]], *args) -> None:
-        """Run an effect's task beside the loop."""
+        """Start an effect's task in the background."""
         if self._nursery is not None:
-            self._nursery.start_soon(self._time, task, args)
+            self._nursery.start_soon(self._run_timed, task, args)
 
-    async def _time(
+    async def _run_timed(
         self,
         task: t.Callable[..., t.Awaitable[None]],
         args: tuple[t.Any, ...],
     ) -> None:
-        """Run a task and tell how long its effect took."""
-        began = trio.current_time()
+        """Run a task and report the duration of its effect to observers."""
+        started_s = trio.current_time()
         await task(*args)
-        elapsed_ms = (trio.current_time() - began) * _MS
+        elapsed_ms = (trio.current_time() - started_s) * _MS_PER_S
         if args and isinstance(args[0], fx.Effect):
             for observer in self.effect_observers:
                 observer(args[0], elapsed_ms)
--- a/src/tulippin/store.py
+++ b/src/tulippin/store.py
@@ -1,7 +1,7 @@
-"""What lasts: sessions, leases, ownership, journals and snapshots.
+"""Durable state: sessions, leases, ownership, journals and snapshots.
 
-All of it lies in the platform's table and object store. A write whose
-answer is lost is read back by its key before anything builds on it.
+It is stored in the platform's table and object store. After a write whose
+answer was lost, the row is read back to learn whether the write took effect.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from tulippin.state import Seams
 from tulippin.types import Holder, LeaseRow, Ownership, Source, is_cell
 
-_FIRST_PAUSE_S: t.Final = 0.05
-_LONGEST_PAUSE_S: t.Final = 1.0
+_MIN_BACKOFF_S: t.Final = 0.05
+_MAX_BACKOFF_S: t.Final = 1.0
 _LIVE: t.Final = 'live'
 _OWNERSHIP_KEY: t.Final = 'ownership'
-_CLOSED_KEPT: t.Final = 8
+_MAX_CACHED_JOURNALS: t.Final = 8
 
 
 def session_key(session_id: str) -> str:
@@ -53,19 +53,19 @@
 
 @attrs.define
 class Backoff:
-    """Pauses that grow, so that an outage's end meets no herd."""
+    """Exponential backoff, which spreads retries at the end of an outage."""
 
-    pause_s: float = _FIRST_PAUSE_S
+    delay_s: float = _MIN_BACKOFF_S
 
     async def wait(self) -> None:
-        """Wait, twice as long each time up to a bound."""
-        await trio.sleep(self.pause_s)
-        self.pause_s = min(_LONGEST_PAUSE_S, self.pause_s * 2)
+        """Wait; the delay doubles with each call, up to a limit."""
+        await trio.sleep(self.delay_s)
+        self.delay_s = min(_MAX_BACKOFF_S, self.delay_s * 2)
 
 
 @attrs.frozen
-class Resolved:
-    """A commit whose effect is known; ``version`` 0 is a conflict."""
+class CommitResult:
+    """The known effect of a commit; ``version`` 0 means a conflict."""
 
     version: int
 
@@ -76,27 +76,27 @@
     writes: t.Sequence[Write],
     *,
     read_back: bool = True,
-) -> Resolved:
-    """Commit until the effect is known, whatever answers are lost.
+) -> CommitResult:
+    """Commit, retrying until it is known whether the commit took effect.
 
-    The first write is the marker: its value must be unique to this
-    commit, so that reading the row back tells whether it took effect.
+    The first write is the marker: its value must be unique to this commit,
+    so that the row shows whether a commit without an answer took effect.
     """
     backoff = Backoff()
-    uncertain = False
+    in_doubt = False
     while True:
         try:
             version = await table.commit(conditions, writes)
         except AnswerLostError:
             if not read_back:
-                return Resolved(1)
-            uncertain = True
+                return CommitResult(1)
+            in_doubt = True
             version = 0
         except UnavailableError:
             await backoff.wait()
             continue
-        if version or not uncertain:
-            return Resolved(version)
+        if version or not in_doubt:
+            return CommitResult(version)
         found = await _read_marker(table, conditions, writes[0])
         if found is not None:
             return found
@@ -104,20 +104,20 @@
 
 async def _read_marker(
     table: Table, conditions: t.Sequence[Condition], marker: Write
-) -> Resolved | None:
-    """Read a marker back; nothing if the commit may yet take effect."""
+) -> CommitResult | None:
+    """Read the marker row; return nothing if the effect is still open."""
     row = await read_row(table, marker.key)
     if row is not None and row.value == marker.value:
-        return Resolved(row.version)
-    if _is_refuted(row, conditions, marker.key):
-        return Resolved(0)
+        return CommitResult(row.version)
+    if _breaks_condition(row, conditions, marker.key):
+        return CommitResult(0)
     return None
 
 
-def _is_refuted(
+def _breaks_condition(
     row: Row | None, conditions: t.Sequence[Condition], key: str
 ) -> bool:
-    """Tell whether the marker's row can no longer be as demanded."""
+    """Return whether the commit can no longer meet its conditions."""
     version = row.version if row is not None else 0
     return any(
         condition.key == key and condition.version != version
@@ -126,7 +126,7 @@
 
 
 async def read_row(table: Table, key: str) -> Row | None:
-    """Return a row, however long the table does not answer."""
+    """Read a row, retrying while the table is unavailable."""
     backoff = Backoff()
     while True:
         try:
@@ -136,7 +136,7 @@
 
 
 async def read_object(objects: Objects, key: str) -> bytes | None:
-    """Return an object, however long the store does not answer."""
+    """Read an object, retrying while the store is unavailable."""
     backoff = Backoff()
     while True:
         try:
@@ -146,7 +146,7 @@
 
 
 async def put_object(objects: Objects, key: str, body: bytes) -> None:
-    """Write an object, however long the store does not answer."""
+    """Write an object, retrying while the store is unavailable."""
     backoff = Backoff()
     while True:
         try:
@@ -158,7 +158,7 @@
 
 
 async def scan_rows(table: Table, prefix: str) -> list[tuple[str, Row]]:
-    """Return the rows of a prefix, however long it takes."""
+    """Read the rows of a prefix, retrying while the table is unavailable."""
     backoff = Backoff()
     while True:
         try:
@@ -168,13 +168,13 @@
 
 
 def make_ledger(unit: str) -> Ledger:
-    """Return the state of a unit for which nothing is recorded."""
+    """Return the empty state of a unit."""
     return CellLedger() if is_cell(unit) else RangeLedger()
 
 
 @attrs.frozen
 class ClosedJournal:
-    """What a fenced session has left."""
+    """The snapshot and later journal rows of a fenced session."""
 
     units: dict[str, tuple[int, bytes]]
     snapshot_sequence: int
@@ -183,19 +183,19 @@
 
 @attrs.define
 class SessionStore:
-    """One session's dealings with the table and the object store.
+    """Reads and writes of one session in the table and the object store.
 
     Parameters
     ----------
     table, objects : Table, Objects
         The platform's services.
     session_id : str
-        The session.
+        Id of the session.
     ring : int
-        Number of journal slots; a slot is used again only once a
-        snapshot covers its row.
+        Number of journal slots; a slot is reused only after a snapshot
+        covers its row.
     seams : Seams
-        Safeguards that only tests switch off.
+        Safeguards that only tests disable.
     """
 
     table: Table
@@ -207,17 +207,17 @@
     slot_versions: dict[int, int] = attrs.field(factory=dict)
     snapshot_version: int = 0
     last_snapshot: str = ''
-    closed: dict[str, ClosedJournal] = attrs.field(factory=dict)
-    reading: trio.Lock = attrs.field(factory=trio.Lock)
-    start_keys: dict[tuple[str, int], str] = attrs.field(factory=dict)
+    cached_journals: dict[str, ClosedJournal] = attrs.field(factory=dict)
+    journal_lock: trio.Lock = attrs.field(factory=trio.Lock)
+    activation_keys: dict[tuple[str, int], str] = attrs.field(factory=dict)
 
     async def open(self, lease: LeaseRow) -> None:
-        """Put the session and its first lease into the table.
+        """Write the session and its first lease into the table.
 
         Raises
         ------
-        UnavailableError
-            If the table does not answer.
+        FencedError
+            If the table already has a session of that id.
         """
         value = f'{_LIVE} {self.session_id}'
         resolved = await commit_resolved(
@@ -229,11 +229,11 @@
             ],
         )
         if not resolved.version:
-            raise FencedError('the session id is taken already')
+            raise FencedError('the session id is already in use')
         self.session_version = resolved.version
 
     async def renew(self, lease: LeaseRow) -> None:
-        """Renew the lease, once.
+        """Renew the lease with a single attempt.
 
         Raises
         ------
@@ -243,7 +243,7 @@
             If it is not known whether the renewal took effect.
         """
         version = await self.table.commit(
-            [self._live()], [_make_lease_write(lease)]
+            [self._make_live_condition()], [_make_lease_write(lease)]
         )
         if not version:
             raise FencedError('the session was revoked')
@@ -251,19 +251,19 @@
     async def commit_row(
         self, sequence: int, records: t.Sequence[UnitRecord]
     ) -> None:
-        """Make one journal row durable; resolved whatever happens.
+        """Write one journal row, retrying until its effect is known.
 
         Raises
         ------
         FencedError
-            If the session was revoked; the row is surely not there.
+            If the session was revoked; the row was not written.
         """
         slot = sequence % self.ring
         key = slot_key(self.session_id, slot)
         value = f'{sequence}\n{codec.encode_records(records)}'
         conditions = [Condition(key, self.slot_versions.get(slot, 0))]
         if self.seams.fencing:
-            conditions.append(self._live())
+            conditions.append(self._make_live_condition())
         resolved = await commit_resolved(
             self.table,
             conditions,
@@ -279,14 +279,17 @@
     ) -> None:
         """Publish a snapshot that covers all rows up to a sequence.
 
-        Objects that a snapshot replaces are deleted after it.
+        The objects that it replaces are deleted afterwards.
         """
         key = f'snapshot/{self.session_id}/{sequence}'
         await put_object(self.objects, key, body)
         row_key = snapshot_key(self.session_id)
         resolved = await commit_resolved(
             self.table,
-            [Condition(row_key, self.snapshot_version), self._live()],
+            [
+                Condition(row_key, self.snapshot_version),
+                self._make_live_condition(),
+            ],
             [Write(row_key, f'{sequence}\n{key}')],
         )
         if not resolved.version:
@@ -294,15 +297,15 @@
         self.snapshot_version = resolved.version
         replaced = [self.last_snapshot] if self.last_snapshot else []
         replaced.extend(
-            self.start_keys.pop(unit)
+            self.activation_keys.pop(unit)
             for unit in units
-            if unit in self.start_keys
+            if unit in self.activation_keys
         )
         self.last_snapshot = key
         await self._delete(replaced)
 
     async def _delete(self, keys: t.Iterable[str]) -> None:
-        """Delete objects; one that cannot be deleted now stays behind."""
+        """Delete objects, ignoring those that can't be deleted now."""
         for key in keys:
             with contextlib.suppress(UnavailableError):
                 await self.objects.delete(key)
@@ -312,11 +315,11 @@
         ownership: Ownership,
         expected_version: int,
         revoke: t.Sequence[LeaseRow],
-    ) -> Resolved:
-        """Replace the ownership row, revoking sessions with it."""
+    ) -> CommitResult:
+        """Replace the ownership row and revoke sessions in one commit."""
         conditions = [
             Condition(_OWNERSHIP_KEY, expected_version),
-            self._live(),
+            self._make_live_condition(),
         ]
         writes = [Write(_OWNERSHIP_KEY, codec.encode(ownership).decode())]
         for lease in revoke:
@@ -327,9 +330,9 @@
         return await commit_resolved(self.table, conditions, writes)
 
     async def close(self) -> None:
-        """Close the session: its units may be taken at once."""
+        """Close the session, so that its units can be taken over at once."""
         await self.table.commit(
-            [self._live()],
+            [self._make_live_condition()],
             [
                 Write(session_key(self.session_id), 'closed'),
                 Write(lease_key(self.session_id), None),
@@ -337,9 +340,13 @@
         )
 
     async def load_unit(self, unit: str, holder: Holder) -> Ledger:
-        """Read a unit's state from its last owner and publish it."""
+        """Read a unit's state as its last owner left it.
+
+        The state of a unit that had an owner before is stored as an object
+        of its own, unless it comes from one. Later owners load it from there.
+        """
         if holder.base:
-            self.start_keys[unit, holder.epoch] = holder.base
+            self.activation_keys[unit, holder.epoch] = holder.base
             return await self._load_base(unit, holder.base)
         ledger = make_ledger(unit)
         for source in holder.previous:
@@ -351,27 +358,27 @@
             key = activation_key(unit, holder.epoch, self.session_id)
             body = codec.encode_ledgers([(unit, holder.epoch, ledger)])
             await put_object(self.objects, key, body)
-            self.start_keys[unit, holder.epoch] = key
+            self.activation_keys[unit, holder.epoch] = key
         return ledger
 
     async def _load_base(self, unit: str, key: str) -> Ledger:
         body = await read_object(self.objects, key)
         if body is None:
-            raise FencedError(f'the object {key} is gone')
+            raise FencedError(f'the object {key} is missing')
         _, raw = codec.split_ledgers(body)[unit]
         return codec.decode_ledger(unit, raw)
 
     async def _load_from(self, unit: str, source: Source) -> Ledger | None:
-        """Return the unit's state as one former owner left it.
+        """Return the unit's state as a previous owner left it.
 
-        Nothing if that owner never got so far as to act for it.
+        Return nothing if that owner never activated the unit.
         """
         journal = await self._read_closed(source.session_id)
         epoch, body = journal.units.get(unit, (0, b''))
         if epoch == source.epoch:
             ledger: Ledger | None = codec.decode_ledger(unit, body)
         else:
-            ledger = await self._load_start(unit, source)
+            ledger = await self._load_activation(unit, source)
         if ledger is None:
             return None
         for sequence, records in journal.rows:
@@ -382,7 +389,10 @@
                     apply(entry.record, ledger)
         return ledger
 
-    async def _load_start(self, unit: str, source: Source) -> Ledger | None:
+    async def _load_activation(
+        self, unit: str, source: Source
+    ) -> Ledger | None:
+        """Return the state with which a previous owner activated a unit."""
         if source.base:
             return await self._load_base(unit, source.base)
         key = activation_key(unit, source.epoch, source.session_id)
@@ -393,13 +403,15 @@
         return make_ledger(unit) if source.epoch == 1 else None
 
     async def _read_closed(self, session_id: str) -> ClosedJournal:
-        """Read a fenced session's snapshot and rows, once for all units."""
-        async with self.reading:
-            if session_id not in self.closed:
-                if len(self.closed) >= _CLOSED_KEPT:
-                    self.closed.pop(next(iter(self.closed)))
-                self.closed[session_id] = await self._read_session(session_id)
-            return self.closed[session_id]
+        """Read a fenced session's snapshot and rows, or return cached ones."""
+        async with self.journal_lock:
+            if session_id not in self.cached_journals:
+                if len(self.cached_journals) >= _MAX_CACHED_JOURNALS:
+                    self.cached_journals.pop(next(iter(self.cached_journals)))
+                self.cached_journals[session_id] = await self._read_session(
+                    session_id
+                )
+            return self.cached_journals[session_id]
 
     async def _read_session(self, session_id: str) -> ClosedJournal:
         units: dict[str, tuple[int, bytes]] = {}
@@ -427,12 +439,12 @@
             ),
         )
 
-    def _live(self) -> Condition:
+    def _make_live_condition(self) -> Condition:
         return Condition(session_key(self.session_id), self.session_version)
 
 
 def activation_key(unit: str, epoch: int, session_id: str) -> str:
-    """Return the key of the state from which a takeover began."""
+    """Return the key of the state with which an owner activated a unit."""
     return f'unit/{unit}/{epoch}/{session_id}'
 
 
@@ -447,7 +459,7 @@
 
 @attrs.frozen
 class Membership:
-    """What the table holds about sessions and units."""
+    """The table's state of sessions and ownership of units."""
 
     ownership: Ownership
     ownership_version: int
@@ -455,7 +467,7 @@
 
 
 async def read_membership(table: Table) -> Membership:
-    """Return ownership and leases; the ownership is read first."""
+    """Read ownership and leases, in this order."""
     row = await table.get(_OWNERSHIP_KEY)
     ownership = codec.decode(row.value, Ownership) if row else Ownership()
     leases = tuple(
@@ -466,8 +478,9 @@
 
 
 async def collect_garbage(table: Table, objects: Objects) -> int:
-    """Delete what ended sessions left and nobody may need any more.
+    """Delete the rows and snapshots of ended sessions.
 
+    Sessions are kept whose state a current owner may still have to read.
     Returns the number of sessions cleared.
     """
     membership = await read_membership(table)
--- a/tests/tulippin/test_foreign_answers.py
+++ b/tests/tulippin/test_foreign_answers.py
@@ -209,7 +209,7 @@
             Config('i', 'd', 'i'), ports, {}, clock=lambda: 0, wall=lambda: 0
         )
         with trio.move_on_after(3600):
-            await shell._collect()
+            await shell._collect_garbage()
 
     with logbook.TestHandler() as lines:
         run_virtual(run)
