--- a/src/tulippin/_session_effects.py
+++ b/src/tulippin/_session_effects.py
@@ -151,7 +151,7 @@
         self._shell.post(event)
 
     async def list_instances(self) -> None:
-        """Read the platform's list; if that fails, the last one stays in use."""
+        """Read the platform's list; on failure the old one stays in use."""
         with trio.move_on_after(_TABLE_TIMEOUT_S):
             try:
                 listed = await self._shell.ports.directory.list_instances()
--- a/src/tulippin/api_types.py
+++ b/src/tulippin/api_types.py
@@ -1,4 +1,7 @@
-"""Bodies of the callers' and the operators' APIs."""
+"""Request and answer bodies of the callers' and the operators' APIs.
+
+The OpenAPI document takes its schemas and descriptions from them.
+"""
 
 from __future__ import annotations
 
--- a/src/tulippin/bundles.py
+++ b/src/tulippin/bundles.py
@@ -25,7 +25,7 @@
 
 
 class BundleState(enum.Enum):
-    """States of a bundle's life cycle."""
+    """Where a bundle stands in its life."""
 
     PROPOSED = 'proposed'
     APPROVED = 'approved'
@@ -92,7 +92,7 @@
 
 @attrs.frozen
 class BundleRow:
-    """A bundle as it is stored in the table."""
+    """A bundle as the table holds it."""
 
     number: int
     text: str
--- a/src/tulippin/daemon.py
+++ b/src/tulippin/daemon.py
@@ -1,4 +1,4 @@
-"""The one daemon, the same on every entry instance."""
+"""The ``tulippind`` daemon, which runs one instance with its listeners."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 from tulippin.shell import Shell
 from tulippin.workers_http import HttpEndpoints, HttpWorkers
 
-_MS: t.Final = 1000
-_STOP_EXTRA_S: t.Final = 5.0
+_MS_PER_S: t.Final = 1000
+_STOP_MARGIN_S: t.Final = 5.0
 _REQUEST_TIMEOUT_S: t.Final = 660.0
 _WORKER_CONNECTIONS: t.Final = 512
 _USAGE: t.Final = 'usage: tulippind SETTINGS.ini'
 
 
 def load_credentials(settings: Settings) -> PeerCredentials | None:
-    """Read the PEM files for TLS between peers, if any are given."""
+    """Read the PEM files for TLS between peers, if it is configured."""
     tls = settings.tls
     if not tls.peers_certificate:
         return None
@@ -54,7 +54,7 @@
     Parameters
     ----------
     settings : Settings
-        As read from the file.
+        The content of the settings file.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -66,11 +66,11 @@
         self._stopping = trio.Event()
 
     def stop(self) -> None:
-        """Begin the planned stop, as SIGTERM does."""
+        """Begin a planned stop, as SIGTERM does."""
         self._stopping.set()
 
     def get_unready(self) -> str:
-        """Return the reason why the instance is not ready, or nothing."""
+        """Return why the instance is not ready, or an empty text."""
         if self._stopping.is_set():
             return 'stopping'
         if self.shell is None:
@@ -101,7 +101,7 @@
             nursery.cancel_scope.cancel()
 
     async def _open(self, stack: contextlib.AsyncExitStack) -> None:
-        """Open clients, the peers' listener and the shell."""
+        """Open the clients, the peers' listener and the shell."""
         credentials = load_credentials(self.settings)
         peers = stack.enter_context(GrpcPeers(credentials))
         listener = stack.enter_context(
@@ -125,9 +125,10 @@
         self.shell = await stack.enter_async_context(shell)
 
     def _make_config(self, port: int) -> t.Any:
+        """Return the config; a peer port of 0 is replaced by the real one."""
         config = self.settings.config
-        host, _, given = config.peer_address.rpartition(':')
-        if given != '0':
+        host, _, configured_port = config.peer_address.rpartition(':')
+        if configured_port != '0':
             return config
         return attrs.evolve(config, peer_address=f'{host}:{port}')
 
@@ -177,21 +178,21 @@
         return [callers_server, operators_server]
 
     async def _leave(self) -> None:
-        """Finish what is in progress and hand over what is owned."""
+        """Finish calls in progress and hand over the owned units."""
         logger.info('stopping')
         grace_ms = self.settings.limits.balancer_grace_ms
-        await trio.sleep(grace_ms / _MS)
+        await trio.sleep(grace_ms / _MS_PER_S)
         shell = self._get_shell()
         shell.stop()
         limits = self.settings.limits
         limit_ms = self.settings.config.drain_limit_ms + limits.max_deadline_ms
-        limit_s = limit_ms / _MS + _STOP_EXTRA_S
+        limit_s = limit_ms / _MS_PER_S + _STOP_MARGIN_S
         with trio.move_on_after(limit_s) as scope:
             await shell.left.wait()
         if scope.cancelled_caught:
-            logger.warning('left before all was handed over')
+            logger.warning('stopped before the hand-over was complete')
         else:
-            logger.info('all is handed over')
+            logger.info('hand-over complete')
 
     def _get_shell(self) -> Shell:
         if self.shell is None:
@@ -230,8 +231,8 @@
     Returns
     -------
     int
-        The exit code. What ended the daemon is told as one line; the
-        interpreter's own traceback would be no JSON among the others.
+        The exit code. An error that ends the daemon is logged as one line,
+        as a traceback of the interpreter would not be a JSON log line.
     """
     settings = load_settings(path)
     config = settings.config
@@ -240,7 +241,7 @@
             trio.run(_run_with_signals, Daemon(settings))
         except BaseException as error:
             failures.tell('instance failed', error)
-            # An exit on purpose has a code of its own.
+            # Deliberate exits such as SystemExit have their own exit code.
             if not isinstance(error, Exception):
                 raise
             return failures.get_exit_code(error)
@@ -249,11 +250,11 @@
 
 def main(arguments: t.Sequence[str] | None = None) -> int:
     """Run ``tulippind``; return its exit code."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
+    argv = list(sys.argv[1:] if arguments is None else arguments)
     try:
-        if len(given) != 1 or given[0].startswith('-'):
+        if len(argv) != 1 or argv[0].startswith('-'):
             raise InputError(_USAGE, code='usage')
-        return run_settings(given[0])
+        return run_settings(argv[0])
     except TulippinError as error:
         error.show()
         return error.exit_code
--- a/src/tulippin/dump.py
+++ b/src/tulippin/dump.py
@@ -1,4 +1,4 @@
-"""The dump of an instance's state, bounded in size."""
+"""Size-limited dump of an instance's state for its operators."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 def _limit(items: t.Mapping[str, t.Any]) -> dict[str, t.Any]:
-    """Return the first items, and how many were left out."""
-    kept = dict(itertools.islice(sorted(items.items()), ITEM_LIMIT))
+    """Return the first items by key, and the number of omitted ones."""
+    shown = dict(itertools.islice(sorted(items.items()), ITEM_LIMIT))
     if len(items) > ITEM_LIMIT:
-        kept['(left out)'] = len(items) - ITEM_LIMIT
-    return kept
+        shown['(left out)'] = len(items) - ITEM_LIMIT
+    return shown
 
 
 def dump_state(state: State) -> dict[str, t.Any]:
-    """Return the whole state as plain values fit for JSON.
+    """Return the state as plain values that JSON can represent.
 
-    Each collection shows at most ``ITEM_LIMIT`` items.
+    Each collection is limited to ``ITEM_LIMIT`` items.
     """
     session = state.session
     journal = state.journal
@@ -76,7 +76,10 @@
             {unit: _dump_cell(cell) for unit, cell in state.cells.items()}
         ),
         'ranges': _limit(
-            {unit: _dump_range(home) for unit, home in state.ranges.items()}
+            {
+                unit: _dump_range(range_state)
+                for unit, range_state in state.ranges.items()
+            }
         ),
         'tickets': _limit(
             {
@@ -119,7 +122,7 @@
         'refused_count': len(cell.refused),
         'queued': {name: len(queue) for name, queue in cell.queues.items()},
         'endpoints': {
-            name: len(found) for name, found in cell.endpoints.items()
+            name: len(endpoints) for name, endpoints in cell.endpoints.items()
         },
         'workers': _limit(
             {
@@ -148,13 +151,13 @@
     }
 
 
-def _dump_range(home: RangeState) -> dict[str, t.Any]:
+def _dump_range(range_state: RangeState) -> dict[str, t.Any]:
     return {
-        'epoch': home.epoch,
-        'phase': home.phase.value,
-        'job_count': len(home.ledger.jobs),
-        'request_count': len(home.ledger.requests),
-        'queued_count': len(home.queue),
-        'offer_count': len(home.offers),
-        'open_request_count': len(home.request_tickets),
+        'epoch': range_state.epoch,
+        'phase': range_state.phase.value,
+        'job_count': len(range_state.ledger.jobs),
+        'request_count': len(range_state.ledger.requests),
+        'queued_count': len(range_state.queue),
+        'offer_count': len(range_state.offers),
+        'open_request_count': len(range_state.request_tickets),
     }
--- a/src/tulippin/ini.py
+++ b/src/tulippin/ini.py
@@ -128,21 +128,21 @@
         self,
         key: str,
         default: int | None = None,
-        least: int | None = None,
-        most: int | None = None,
+        minimum: int | None = None,
+        maximum: int | None = None,
     ) -> int:
         """Return an integer within bounds."""
-        return int(self._get_number(key, int, default, least, most))
+        return int(self._get_number(key, int, default, minimum, maximum))
 
     def get_float(
         self,
         key: str,
         default: float | None = None,
-        least: float | None = None,
-        most: float | None = None,
+        minimum: float | None = None,
+        maximum: float | None = None,
     ) -> float:
         """Return a number within bounds."""
-        return float(self._get_number(key, float, default, least, most))
+        return float(self._get_number(key, float, default, minimum, maximum))
 
     def close(self) -> None:
         """Report unknown keys: those that were never read."""
@@ -156,11 +156,11 @@
         key: str,
         kind: t.Callable[[str], float],
         default: float | None,
-        least: float | None,
-        most: float | None,
+        minimum: float | None,
+        maximum: float | None,
     ) -> float:
         text = self.get_text(key, None if default is None else str(default))
-        fallback = default if default is not None else least or 0
+        fallback = default if default is not None else minimum or 0
         if not text:
             return fallback
         try:
@@ -168,8 +168,8 @@
         except ValueError:
             self.report(key, f'{text!r} is not a number', 'write a number')
             return fallback
-        low = -_MAX_NUMBER if least is None else least
-        high = _MAX_NUMBER if most is None else most
+        low = -_MAX_NUMBER if minimum is None else minimum
+        high = _MAX_NUMBER if maximum is None else maximum
         # The comparison is also false for NaN.
         if not low <= number <= high:
             self.report(key, f'{text} is out of bounds', f'{low} to {high}')
--- a/src/tulippin/openapi.py
+++ b/src/tulippin/openapi.py
@@ -1,7 +1,7 @@
 """Builds the OpenAPI document of both HTTP APIs from their types.
 
-``python -m tulippin.openapi`` prints it; the committed copy is
-``openapi.json`` beside this module.
+``python -m tulippin.openapi`` prints it. The committed copy is
+``openapi.json`` in the directory of this module.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from tulippin.types import JobSpec
 
 _VERSION: t.Final = '0.1.0'
-_PREFIX: t.Final = '#/components/schemas/{name}'
+_SCHEMA_REF_TEMPLATE: t.Final = '#/components/schemas/{name}'
 
 
 @attrs.frozen
@@ -74,15 +74,17 @@
     listener : str
         ``callers``, ``operators`` or ``both``.
     method, path, summary : str
-        As in the document.
+        As in the OpenAPI document.
     answer : type, optional
-        The body of the answer; nothing for plain JSON or text.
+        Type of the answer's body; ``None`` for untyped JSON or text.
     status : str
-        Of success.
+        Status code of success.
     body : type, optional
-        The body of the request.
+        Type of the request's body.
     errors : tuple of str
-        Statuses that carry an ``ErrorBody``.
+        Status codes whose answer is an ``ErrorBody``.
+    media_type : str
+        Of the answer on success.
     """
 
     listener: str
@@ -96,7 +98,7 @@
     media_type: str = 'application/json'
 
 
-_NUMBER: t.Final = '/v1/bundles/{number}'
+_BUNDLE_PATH: t.Final = '/v1/bundles/{number}'
 
 OPERATIONS: t.Final = (
     Operation(
@@ -149,13 +151,18 @@
     ),
     Operation('operators', 'get', '/v1/bundles', 'List bundles', BundleList),
     Operation(
-        'operators', 'get', _NUMBER, 'Show a bundle', BundleRow, errors=('404',)
+        'operators',
+        'get',
+        _BUNDLE_PATH,
+        'Show a bundle',
+        BundleRow,
+        errors=('404',),
     ),
     *(
         Operation(
             'operators',
             'post',
-            f'{_NUMBER}/{action}',
+            f'{_BUNDLE_PATH}/{action}',
             f'{action.title()} a bundle',
             BundleRow,
             body=SignatureBody,
@@ -199,11 +206,11 @@
         for kind in (operation.answer, operation.body)
         if kind is not None
     }
-    ordered = sorted({*types, ErrorBody}, key=lambda kind: kind.__name__)
+    sorted_types = sorted({*types, ErrorBody}, key=lambda kind: kind.__name__)
     schemas, components = msgspec.json.schema_components(
-        ordered, ref_template=_PREFIX
+        sorted_types, ref_template=_SCHEMA_REF_TEMPLATE
     )
-    references = dict(zip(ordered, schemas, strict=True))
+    references = dict(zip(sorted_types, schemas, strict=True))
     paths: dict[str, dict[str, t.Any]] = {}
     for operation in OPERATIONS:
         paths.setdefault(operation.path, {})[operation.method] = (
--- a/src/tulippin/peers_grpc.py
+++ b/src/tulippin/peers_grpc.py
@@ -1,7 +1,7 @@
-"""Peers over gRPC: the adapter between shells of different processes.
+"""Communication between instances over gRPC.
 
-The server's threads hand envelopes to the trio loop and answer at
-once; the client's calls wake the loop from gRPC's own threads.
+The server's threads pass envelopes to the trio loop and answer without
+waiting for it. Results of client calls wake the loop from gRPC's threads.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from tulippin.messages import BundleSent
 from tulippin.ports import Envelope
 
-_THREADS: t.Final = 4
-_MAX_BYTES: t.Final = 64 * 1024 * 1024
+_SERVER_THREADS: t.Final = 4
+_MAX_MESSAGE_BYTES: t.Final = 64 * 1024 * 1024
 _OPTIONS: t.Final = (
-    ('grpc.max_receive_message_length', _MAX_BYTES),
-    ('grpc.max_send_message_length', _MAX_BYTES),
+    ('grpc.max_receive_message_length', _MAX_MESSAGE_BYTES),
+    ('grpc.max_send_message_length', _MAX_MESSAGE_BYTES),
     ('grpc.so_reuseport', 0),
 )
 _CALL_TIMEOUT_S: t.Final = 5.0
@@ -38,7 +38,7 @@
         This instance's certificate chain and key, and the authority
         that signed all instances' certificates.
     name : str
-        The name in every instance's certificate.
+        The host name in every instance's certificate.
     """
 
     certificate: bytes
@@ -48,7 +48,7 @@
 
 
 def encode_envelope(envelope: Envelope) -> peers_pb2.Envelope:
-    """Return an envelope as its protobuf message."""
+    """Return the protobuf message of an envelope."""
     messages = [
         peers_pb2.PeerMessage(kind=kind, body=body)
         for kind, body in map(codec.encode_message, envelope.messages)
@@ -62,9 +62,9 @@
 
 
 def decode_envelope(message: peers_pb2.Envelope) -> Envelope:
-    """Return an envelope from its protobuf message.
+    """Return the envelope of a protobuf message.
 
-    Raises ``InputError`` if a part is of no known kind.
+    Raises ``InputError`` if a message in it is invalid or of unknown kind.
     """
     return Envelope(
         message.session_id,
@@ -78,14 +78,14 @@
 
 
 class GrpcPeers:
-    """Client side: implements the ``Peers`` port; a context manager."""
+    """gRPC client that implements the ``Peers`` port; a context manager."""
 
     def __init__(self, credentials: PeerCredentials | None = None) -> None:
         self._credentials = credentials
         self._channels: dict[str, grpc.Channel] = {}
 
     def __enter__(self) -> t.Self:
-        """Return itself; channels open at their first use."""
+        """Return the client; channels are opened at their first use."""
         return self
 
     def __exit__(self, *details: object) -> None:
@@ -95,7 +95,7 @@
         self._channels.clear()
 
     async def deliver(self, address: str, envelope: Envelope) -> None:
-        """Deliver an envelope; an error means that it may be lost."""
+        """Deliver an envelope; after an error it may be lost."""
         stub = peers_pb2_grpc.PeersStub(self._get_channel(address))
         await _call(stub.Deliver, encode_envelope(envelope))
 
@@ -132,7 +132,7 @@
 
 
 async def _call(method: t.Any, message: t.Any) -> t.Any:
-    """Call a unary method and wait for it without blocking the loop."""
+    """Call a unary method without blocking the trio loop."""
     token = trio.lowlevel.current_trio_token()
     done = trio.Event()
     future = method.future(message, timeout=_CALL_TIMEOUT_S)
@@ -156,7 +156,7 @@
 
 
 class _Servicer(peers_pb2_grpc.PeersServicer):
-    """Hands what arrives on gRPC's threads to the trio loop."""
+    """Handles calls on gRPC's threads and passes envelopes to trio."""
 
     def __init__(
         self,
@@ -169,7 +169,7 @@
         self._token = token
 
     def Deliver(self, request, context):  # noqa: N802
-        """Take in an envelope."""
+        """Decode an envelope and pass it to the trio loop."""
         try:
             envelope = decode_envelope(request)
         except InputError as error:
@@ -181,18 +181,18 @@
         return peers_pb2.Receipt()
 
     def FetchBundle(self, request, context):  # noqa: N802
-        """Return the bundle held here."""
+        """Return the bundle that this instance holds."""
         number, approved = self._get_bundle()
         return peers_pb2.BundleReply(number=number, approved=approved)
 
 
 class PeerServer:
-    """Server side; a context manager that listens while it is open.
+    """gRPC server; a context manager that listens while it is open.
 
     Parameters
     ----------
     address : str
-        IP and port; port 0 takes a free one, see ``port``.
+        IP and port; for port 0 a free one is chosen, see ``port``.
     receive : callable
         Called in the trio loop with each envelope.
     get_bundle : callable
@@ -216,8 +216,8 @@
         self.port = 0
 
     def __enter__(self) -> t.Self:
-        """Begin to listen; must be called in the trio loop."""
-        pool = futures.ThreadPoolExecutor(_THREADS)
+        """Start listening; must be called from the trio loop."""
+        pool = futures.ThreadPoolExecutor(_SERVER_THREADS)
         self._server = grpc.server(pool, options=_OPTIONS)
         peers_pb2_grpc.add_PeersServicer_to_server(
             _Servicer(
@@ -244,8 +244,8 @@
     def _bind(self) -> int:
         if self._credentials is None:
             return int(self._server.add_insecure_port(self._address))
-        pair = (self._credentials.key, self._credentials.certificate)
+        key_pair = (self._credentials.key, self._credentials.certificate)
         secure = grpc.ssl_server_credentials(
-            [pair], self._credentials.authority, require_client_auth=True
+            [key_pair], self._credentials.authority, require_client_auth=True
         )
         return int(self._server.add_secure_port(self._address, secure))
--- a/src/tulippin/platform_http.py
+++ b/src/tulippin/platform_http.py
@@ -1,7 +1,7 @@
-"""The platform's table, objects and list over HTTP: the one adapter.
+"""HTTP clients of the platform's table, object store and instance list.
 
-To meet another platform, replace this file; ``docs/platform.md`` lists
-what is assumed of it.
+For another platform, replace this module; ``docs/platform.md`` lists the
+assumptions about the platform.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 @attrs.frozen
 class KeyBody:
-    """Names a row, or the prefix of a scan."""
+    """The key of a row, or the prefix of a scan."""
 
     key: str
 
 
 @attrs.frozen
 class CommitBody:
-    """A transaction."""
+    """The conditions and writes of a transaction."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -44,40 +44,42 @@
 
 @attrs.frozen
 class VersionBody:
-    """The version of a commit; 0 is a conflict."""
+    """The version of a commit; 0 means a conflict."""
 
     version: int
 
 
-def _check(answer: HttpAnswer) -> HttpAnswer:
-    """Turn an answer that is none into an error."""
+def _check_status(answer: HttpAnswer) -> HttpAnswer:
+    """Return an answer, or raise an error for an unexpected status."""
     if answer.status == _UNAVAILABLE:
-        # The service says so itself: nothing was done.
-        raise UnavailableError('the store refuses calls')
+        # A 503 comes from the service itself and means: no effect.
+        raise UnavailableError('the platform is unavailable')
     if answer.status not in {_OK, _NOT_FOUND}:
-        raise AnswerLostError(f'the store answers {answer.status}')
+        raise AnswerLostError(
+            f'the platform answered with status {answer.status}'
+        )
     return answer
 
 
 def _decode(answer: HttpAnswer, kind: type[Decoded]) -> Decoded:
-    """Return an answer's value; one that is none is a lost answer."""
+    """Decode an answer; an invalid one counts as lost."""
     try:
         return codec.decode(answer.body, kind)
     except InputError as error:
         raise AnswerLostError(
-            f'the platform answers nonsense: {error.message}'
+            f'the platform sent an invalid answer: {error.message}'
         ) from error
 
 
 @attrs.frozen
 class HttpTable:
-    """The table service at a URL."""
+    """Implements the ``Table`` port by the service at a URL."""
 
     url: str
     client: HttpClient
 
     async def get(self, key: str) -> Row | None:
-        """Return a row."""
+        """Return a row, or nothing if it is absent."""
         answer = await self._send('get', KeyBody(key))
         if answer.status == _NOT_FOUND:
             return None
@@ -91,51 +93,58 @@
     async def commit(
         self, conditions: t.Sequence[Condition], writes: t.Sequence[Write]
     ) -> int:
-        """Apply all writes if all conditions hold."""
+        """Apply all writes if all conditions hold.
+
+        Returns the version of the rows, or 0 if a condition did not hold.
+        """
         body = CommitBody(tuple(conditions), tuple(writes))
         answer = await self._send('commit', body)
         return _decode(answer, VersionBody).version
 
-    async def _send(self, verb: str, body: object) -> HttpAnswer:
-        return _check(
+    async def _send(self, operation: str, body: object) -> HttpAnswer:
+        return _check_status(
             await self.client.send(
-                'POST', f'{self.url}/table/{verb}', codec.encode(body)
+                'POST', f'{self.url}/table/{operation}', codec.encode(body)
             )
         )
 
 
 @attrs.frozen
 class HttpObjects:
-    """The object store at a URL."""
+    """Implements the ``Objects`` port by the service at a URL."""
 
     url: str
     client: HttpClient
 
     async def put(self, key: str, body: bytes) -> None:
         """Write an object."""
-        _check(await self.client.send('PUT', self._locate(key), body))
+        _check_status(await self.client.send('PUT', self._make_url(key), body))
 
     async def get(self, key: str) -> bytes | None:
-        """Return an object."""
-        answer = _check(await self.client.send('GET', self._locate(key)))
+        """Return an object, or nothing if it is absent."""
+        answer = _check_status(
+            await self.client.send('GET', self._make_url(key))
+        )
         return None if answer.status == _NOT_FOUND else answer.body
 
     async def delete(self, key: str) -> None:
-        """Delete an object, if it is there."""
-        _check(await self.client.send('DELETE', self._locate(key)))
+        """Delete an object if it exists."""
+        _check_status(await self.client.send('DELETE', self._make_url(key)))
 
-    def _locate(self, key: str) -> str:
+    def _make_url(self, key: str) -> str:
         return f'{self.url}/objects/{quote(key, safe="/")}'
 
 
 @attrs.frozen
 class HttpDirectory:
-    """The platform's list of instances at a URL."""
+    """Implements the ``Directory`` port by the service at a URL."""
 
     url: str
     client: HttpClient
 
     async def list_instances(self) -> InstanceList:
-        """Return the list as the platform has it now."""
-        answer = _check(await self.client.send('GET', f'{self.url}/instances'))
+        """Return the platform's current list."""
+        answer = _check_status(
+            await self.client.send('GET', f'{self.url}/instances')
+        )
         return _decode(answer, InstanceList)
--- a/src/tulippin/workers_http.py
+++ b/src/tulippin/workers_http.py
@@ -1,4 +1,4 @@
-"""Workers and the services on them over HTTP: the one adapter."""
+"""HTTP clients of the workers' agents and of the services on workers."""
 
 from __future__ import annotations
 
@@ -27,41 +27,46 @@
 LEAVING_HEADER: t.Final = 'x-leaving'
 _OK: t.Final = 200
 _CONFLICT: t.Final = 409
-_FIRST_ERROR: t.Final = 400
-# Far above any machine, and any slowdown of what still answers; sums and
-# products of such figures stay within a float.
-_LARGEST_USE: t.Final = Resources(10**9, 10**9, 10**9)
-_LARGEST_SLOWDOWN: t.Final = 1e6
+_MIN_ERROR_STATUS: t.Final = 400
+# Far above the size of any machine and the slowdown of anything that still
+# answers. Sums and products of values below them fit into a float.
+_MAX_USAGE: t.Final = Resources(10**9, 10**9, 10**9)
+_MAX_SLOWDOWN: t.Final = 1e6
 
 
 @attrs.frozen
 class HttpWorkers:
-    """The platform's agents on the workers."""
+    """Implements the ``Workers`` port by the agents on the workers."""
 
     client: HttpClient
 
     async def sync(self, address: str, message: WorkerSync) -> WorkerReport:
-        """Send a sync and return the report."""
+        """Send a sync and return the report without its invalid values."""
         answer = await self.client.send(
             'POST', f'http://{address}/sync', codec.encode(message)
         )
         if answer.status == _CONFLICT:
-            raise FencedError('a higher epoch is at work')
+            raise FencedError('the worker has seen a higher epoch')
         if answer.status != _OK:
-            raise UnavailableError(f'the worker answers {answer.status}')
+            raise UnavailableError(
+                f'the worker answered with status {answer.status}'
+            )
         return _decode_report(answer)
 
 
 @attrs.frozen
 class HttpEndpoints:
-    """The services' tasks, by their worker's address."""
+    """Implements the ``Endpoints`` port by the services' tasks."""
 
     client: HttpClient
 
     async def call(
         self, address: str, request: ServiceRequest, epoch: int
     ) -> EndpointReply:
-        """Send one request, once; a broken answer is never whole."""
+        """Send one request without retries.
+
+        An incomplete answer never counts as a complete one.
+        """
         service = quote(request.service, safe='')
         headers = {
             REQUEST_ID_HEADER: request.request_id,
@@ -80,42 +85,45 @@
         except UnavailableError:
             outcome = RequestOutcome(OutcomeKind.NOT_RUN, 'refused')
             return EndpointReply(outcome)
-        return _read_reply(answer)
+        return _make_reply(answer)
 
 
 def _decode_report(answer: HttpAnswer) -> WorkerReport:
-    """Return a report with such figures only as a worker can have."""
+    """Decode a report and remove values that no worker can have."""
     try:
         report = codec.decode(answer.body, WorkerReport)
     except InputError as error:
         raise AnswerLostError(
-            f'the worker answers nonsense: {error.message}'
+            f'the worker sent an invalid report: {error.message}'
         ) from error
-    usage = tuple(filter(_is_possible, report.usage))
+    usage = tuple(filter(_is_plausible, report.usage))
     if len(usage) < len(report.usage):
         logger.warning(
-            'use unusable',
+            'invalid usage samples ignored',
             worker=report.worker_id,
             samples=len(report.usage) - len(usage),
         )
-    # Slots below none would let more requests in than the worker has.
+    # A negative count would admit more requests than the worker has slots.
     return attrs.evolve(
         report, usage=usage, busy_slots=max(0, report.busy_slots)
     )
 
 
-def _is_possible(sample: UsageSample) -> bool:
-    is_slowdown = 0 < sample.slowdown <= _LARGEST_SLOWDOWN
-    is_use = sample.used.fits(Resources()) and _LARGEST_USE.fits(sample.used)
-    return is_slowdown and is_use
+def _is_plausible(sample: UsageSample) -> bool:
+    is_slowdown_valid = 0 < sample.slowdown <= _MAX_SLOWDOWN
+    is_usage_valid = sample.used.fits(Resources()) and _MAX_USAGE.fits(
+        sample.used
+    )
+    return is_slowdown_valid and is_usage_valid
 
 
-def _read_reply(answer: HttpAnswer) -> EndpointReply:
+def _make_reply(answer: HttpAnswer) -> EndpointReply:
+    """Return the result that an endpoint's answer stands for."""
     leaving = LEAVING_HEADER in answer.headers
-    refusal = answer.headers.get(NOT_RUN_HEADER)
-    if refusal is not None:
-        outcome = RequestOutcome(OutcomeKind.NOT_RUN, refusal)
-    elif answer.status >= _FIRST_ERROR:
+    not_run_reason = answer.headers.get(NOT_RUN_HEADER)
+    if not_run_reason is not None:
+        outcome = RequestOutcome(OutcomeKind.NOT_RUN, not_run_reason)
+    elif answer.status >= _MIN_ERROR_STATUS:
         outcome = RequestOutcome(
             OutcomeKind.FAILED,
             'endpoint_error',
@@ -133,11 +141,11 @@
         outcome,
         leaving,
         answer.headers.get(REQUEST_ID_HEADER, ''),
-        len(outcome.body.encode()) + _count_missing(answer),
+        len(outcome.body.encode()) + _count_missing_bytes(answer),
     )
 
 
-def _count_missing(answer: HttpAnswer) -> int:
-    """Return how many bytes the answer promised and did not bring."""
+def _count_missing_bytes(answer: HttpAnswer) -> int:
+    """Return by how many bytes the body is shorter than announced."""
     size = len(answer.body)
     return int(answer.headers.get('content-length', size)) - size
--- a/tests/tulippin/test_failures.py
+++ b/tests/tulippin/test_failures.py
@@ -1,4 +1,4 @@
-"""Errors that nothing was meant to raise are told with all that is known."""
+"""Unexpected errors are logged with cause, place, traceback and fields."""
 
 import logbook
 import pytest
@@ -17,17 +17,17 @@
         divide(0)
 
 
-async def test_group_is_told_by_its_cause_and_its_place():
-    with pytest.raises(ExceptionGroup) as found:
+async def test_group_is_described_by_its_first_cause():
+    with pytest.raises(ExceptionGroup) as caught:
         await fail()
-    told = failures.describe(found.value)
-    assert told['cause'].startswith('ZeroDivisionError')
-    assert told['place'].endswith('divide')
-    assert 'in fail' in told['traceback']
+    fields = failures.describe(caught.value)
+    assert fields['cause'].startswith('ZeroDivisionError')
+    assert fields['place'].endswith('divide')
+    assert 'in fail' in fields['traceback']
 
 
 @pytest.mark.plants_errors
-def test_line_is_an_error_with_fields_and_bounded():
+def test_line_has_error_level_fields_and_limited_size():
     def recurse(depth):
         if depth:
             recurse(depth - 1)
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.plants_errors
-def test_error_that_comes_again_and_again_is_told_without_its_frames():
-    """A fault at each event or call would fill the log with one traceback."""
+def test_recurring_error_is_mostly_logged_without_traceback():
+    """Otherwise a fault at each event would fill the log with tracebacks."""
     with logbook.TestHandler() as handler:
         for number in range(250):
             try:
@@ -55,24 +55,24 @@
             except ZeroDivisionError as error:
                 failures.tell('again', error, number=number)
     assert failures.counts['again'] == 250
-    told = [record.kwargs for record in handler.records]
-    assert [one['number'] for one in told] == list(range(250))
-    assert all(one['place'].endswith('divide') for one in told)
-    whole = [one['number'] for one in told if 'traceback' in one]
-    assert whole == [*range(20), 99, 199]
-    assert told[50]['time_told'] == 51
+    lines = [record.kwargs for record in handler.records]
+    assert [line['number'] for line in lines] == list(range(250))
+    assert all(line['place'].endswith('divide') for line in lines)
+    with_traceback = [line['number'] for line in lines if 'traceback' in line]
+    assert with_traceback == [*range(20), 99, 199]
+    assert lines[50]['time_told'] == 51
 
 
 @pytest.mark.plants_errors
-def test_another_error_beside_one_that_comes_often_is_told_whole():
+def test_new_error_at_same_place_is_logged_with_traceback():
     with logbook.TestHandler() as handler:
         for text in ['often'] * 30 + ['rare']:
             try:
-                raise_at_one_place(text)
+                raise_by_name(text)
             except (KeyError, ValueError) as error:
                 failures.tell('beside', error)
     assert 'traceback' in handler.records[-1].kwargs
 
 
-def raise_at_one_place(text):
+def raise_by_name(text):
     raise {'often': KeyError, 'rare': ValueError}[text](text)
--- a/tests/tulippin/test_failures_review.py
+++ b/tests/tulippin/test_failures_review.py
@@ -1,10 +1,8 @@
-"""Telling an error goes on whatever the error is, and whatever it holds.
+"""Logging of an error succeeds whatever the error is or contains.
 
-What users would have seen: an instance that ends, or a unit that stands still
-for good, by an error in the telling of an error.
-
-Cause: ``repr`` and ``str`` of an error are its own code, and its text may hold
-what no JSON line can.
+Guards against an instance that ends, or a unit that stops for good, because
+logging an error raises another one: ``repr`` and ``str`` of an error may
+raise, and its text may contain characters that UTF-8 can't encode.
 """
 
 import json
@@ -18,7 +16,7 @@
 
 
 class UnprintableError(Exception):
-    """Can't say what it is."""
+    """Raises in ``repr`` and ``str``."""
 
     def __repr__(self):
         raise ValueError('repr')
@@ -28,20 +26,20 @@
 
 
 class LongError(Exception):
-    """Says more than anybody reads."""
+    """Has a text of a million characters."""
 
     def __init__(self):
         super().__init__('x' * 1_000_000)
 
 
-def raise_it(error):
+def raise_error(error):
     raise error
 
 
 def catch(error):
-    with pytest.raises(type(error)) as found:
-        raise_it(error)
-    return found.value
+    with pytest.raises(type(error)) as caught:
+        raise_error(error)
+    return caught.value
 
 
 @pytest.mark.parametrize(
@@ -54,7 +52,7 @@
     ],
     ids=['unprintable', 'group', 'lone surrogate', 'long'],
 )
-def test_line_is_written_whatever_the_error_is(told_failures, error):
+def test_any_error_is_logged(told_failures, error):
     reader, writer = os.pipe()
     lines = LineBuffer(writer, {})
     with logbook.Flags(errors='raise'), lines.applicationbound():
@@ -65,6 +63,6 @@
     os.close(writer)
     (line,) = [json.loads(one) for one in body.splitlines()]
     assert line['unit'] == 3
-    assert 'in raise_it' in line['traceback']
+    assert 'in raise_error' in line['traceback']
     assert line['cause']
     told_failures.clear()
--- a/tests/tulippin/test_foreign_answers.py
+++ b/tests/tulippin/test_foreign_answers.py
@@ -1,9 +1,9 @@
-"""What platform, workers and peers may answer, as the daemon takes it.
+"""Invalid answers of the platform, of workers and of peers.
 
-One worker that answered a sync with anything but a report ended the instance
-that owns its cell: the decoder's error is none that the effect catches. So
-did a table's answer that is none, a lease row of another writer, when the
-rows of ended sessions were cleared, and a report's use of 10**400 MB.
+Guards against an instance that ends because of one invalid answer: a worker's
+answer to a sync that is not a report, an invalid answer of the table, a
+report of 10**400 MB in use, or an invalid lease row of another writer while
+rows of ended sessions are cleared. The decoding errors weren't caught.
 """
 
 import json
@@ -37,8 +37,8 @@
 
 SYNC = WorkerSync('worker-0', 1, 1, 0)
 CELL = cell_unit('cell-0')
-HUGE = 10**400
-NONSENSE = (
+HUGE_NUMBER = 10**400
+INVALID_BODIES = (
     b'',
     b'{}',
     b'null',
@@ -71,22 +71,24 @@
 
 
 @pytest.mark.parametrize('number', range(4))
-@pytest.mark.parametrize('body', NONSENSE, ids=lambda body: repr(body[:9]))
-def test_nonsense_is_a_lost_answer(number, body):
+@pytest.mark.parametrize(
+    'body', INVALID_BODIES, ids=lambda body: repr(body[:9])
+)
+def test_invalid_answer_counts_as_lost(number, body):
     call, *args = make_calls(CannedClient(body))[number]
     with pytest.raises(AnswerLostError):
         trio.run(call, *args)
 
 
 @pytest.mark.parametrize('body', [b'', b'{}', b'null', b'[1]', b'[["a"]]'])
-def test_nonsense_is_no_scan(body):
+def test_invalid_scan_counts_as_lost(body):
     table = HttpTable('http://p', CannedClient(body))
     with pytest.raises(AnswerLostError):
         trio.run(table.scan, 'k')
 
 
 @given(st.binary(max_size=40))
-def test_any_bytes_are_an_answer_or_a_lost_one(body):
+def test_any_bytes_are_decoded_or_unavailable(body):
     for call, *args in make_calls(CannedClient(body)):
         try:
             trio.run(call, *args)
@@ -94,8 +96,8 @@
             continue
 
 
-def hear(**figures):
-    """Return a worker's report as it is read from its answer."""
+def decode_report(**figures):
+    """Return a worker's report as the client decodes it."""
     report = WorkerReport(
         'worker-0', 'one', 1000, (RunReport('job/0', 1, RunState.RUNNING),)
     )
@@ -115,32 +117,36 @@
     }
 
 
-ODD_USAGE = {
-    'huge use': make_usage(used=(HUGE, 1, 0)),
-    'huge memory': make_usage(used=(1, HUGE, 0)),
-    'use below none': make_usage(used=(-5, 1, 0)),
+INVALID_USAGE = {
+    'huge use': make_usage(used=(HUGE_NUMBER, 1, 0)),
+    'huge memory': make_usage(used=(1, HUGE_NUMBER, 0)),
+    'negative use': make_usage(used=(-5, 1, 0)),
     'huge slowdown': make_usage(slowdown=1e308),
-    'slowdown below none': make_usage(slowdown=-1e308),
-    'no slowdown': make_usage(slowdown=0),
+    'negative slowdown': make_usage(slowdown=-1e308),
+    'zero slowdown': make_usage(slowdown=0),
 }
 
 
-@pytest.mark.parametrize('name', sorted(ODD_USAGE))
-def test_use_of_no_task_is_not_learned(name):
+@pytest.mark.parametrize('name', sorted(INVALID_USAGE))
+def test_invalid_usage_is_removed(name):
     with logbook.TestHandler() as lines:
-        report = hear(usage=[make_usage(), ODD_USAGE[name]])
+        report = decode_report(usage=[make_usage(), INVALID_USAGE[name]])
     assert [one.slowdown for one in report.usage] == [1.5]
-    told = [one for one in lines.records if one.message == 'use unusable']
-    assert [one.kwargs['worker'] for one in told] == ['worker-0']
+    warnings = [
+        one
+        for one in lines.records
+        if one.message == 'invalid usage samples ignored'
+    ]
+    assert [one.kwargs['worker'] for one in warnings] == ['worker-0']
 
 
-@pytest.mark.parametrize('figure', [-1, -HUGE])
-def test_slots_below_none_free_no_slot(figure):
-    assert hear(busy_slots=figure).busy_slots == 0
+@pytest.mark.parametrize('figure', [-1, -HUGE_NUMBER])
+def test_negative_busy_slots_count_as_zero(figure):
+    assert decode_report(busy_slots=figure).busy_slots == 0
 
 
-@pytest.mark.parametrize('name', sorted(ODD_USAGE))
-def test_report_with_odd_use_ends_nothing(name):
+@pytest.mark.parametrize('name', sorted(INVALID_USAGE))
+def test_report_with_invalid_usage_is_handled(name):
     instance = SingleInstance()
     instance.greet_workers()
     spec = JobSpec('job', 'team', task_count=2, run_ms=5000)
@@ -149,9 +155,9 @@
     instance.tick(200)
     instance.commit_all()
     instance.tick()
-    # Enough samples that its class's size would be told from them.
+    # Enough samples for an estimate of the size of the job's class.
     for _ in range(8):
-        report = hear(usage=[ODD_USAGE[name]])
+        report = decode_report(usage=[INVALID_USAGE[name]])
         instance.report(*report.runs, usage=report.usage)
         instance.tick(2000)
     assert instance.state.cells[CELL].ledger.attempts
@@ -169,7 +175,7 @@
 
 
 @given(st.lists(ENTRIES, max_size=4))
-def test_no_shared_weight_is_divided_by_none(lists):
+def test_shared_weights_stay_in_bounds(lists):
     model = InterferenceModel()
     for number, entries in enumerate(lists):
         model.take_shared(f's{number % 2}', entries)
@@ -180,7 +186,7 @@
     assert 0 <= model.get_weight('a', 'b') <= 1e6
 
 
-def test_peer_that_shares_less_than_no_sample_ends_nothing():
+def test_negative_shared_sample_count_is_handled():
     instance = SingleInstance()
     instance.greet_workers()
     message = ModelShared((('service|job', 0.1, -4.0),))
@@ -190,7 +196,7 @@
 
 @attrs.define
 class Table:
-    """Has a row under each prefix that is none of a record."""
+    """Contains an undecodable row under each prefix."""
 
     async def get(self, key):
         await trio.lowlevel.checkpoint()
@@ -200,8 +206,8 @@
         return [(f'{prefix}x', Row('{', 1))]
 
 
-def test_row_that_cannot_be_read_ends_no_clearing(run_virtual):
-    """The rows of ended sessions are cleared now and then, by all."""
+def test_unreadable_row_does_not_end_garbage_collection(run_virtual):
+    """Each instance clears the rows of ended sessions periodically."""
 
     async def run():
         ports = Ports(Table(), None, None, None, None, None)
--- a/tests/tulippin/test_line_buffer.py
+++ b/tests/tulippin/test_line_buffer.py
@@ -1,4 +1,4 @@
-"""Log lines are whole, bounded and never waited for."""
+"""Log lines are written whole, without blocking, from a bounded buffer."""
 
 import json
 import os
@@ -33,7 +33,7 @@
     return [json.loads(line) for line in body.splitlines()]
 
 
-def test_line_has_its_fields(pipe):
+def test_line_has_given_fields(pipe):
     lines = LineBuffer(pipe[1], {'instance': 'i'})
     with lines.applicationbound():
         logger.info('decided', job='a', age_ms=3)
@@ -45,7 +45,7 @@
     assert line['age_ms'] == 3
 
 
-def test_full_pipe_does_not_block_and_loses_no_line(pipe):
+def test_full_pipe_does_not_block_or_lose_lines(pipe):
     lines = LineBuffer(pipe[1], {})
     with lines.applicationbound():
         for number in range(2000):
@@ -58,7 +58,7 @@
     assert [line['number'] for line in found] == list(range(2000))
 
 
-def test_dropped_lines_are_counted_and_told(pipe):
+def test_dropped_lines_are_counted_and_logged(pipe):
     lines = LineBuffer(pipe[1], {})
     with lines.applicationbound():
         for number in range(_MAX_LINES + 7):
@@ -69,9 +69,9 @@
             read_lines(pipe[0])
         logger.info('after')
     lines.flush()
-    told, after = read_lines(pipe[0])
-    assert told['message'] == 'lines dropped'
-    assert told['count'] == 7
+    dropped, after = read_lines(pipe[0])
+    assert dropped['message'] == 'lines dropped'
+    assert dropped['count'] == 7
     assert after['message'] == 'after'
 
 
@@ -80,12 +80,12 @@
     with lines.applicationbound():
         logger.info('quiet')
         lines.change_level('INFO')
-        logger.info('told')
+        logger.info('shown')
     lines.flush()
-    assert [line['message'] for line in read_lines(pipe[0])] == ['told']
+    assert [line['message'] for line in read_lines(pipe[0])] == ['shown']
 
 
-def test_value_that_is_no_json_is_told_as_text(pipe):
+def test_value_without_json_form_is_logged_as_text(pipe):
     lines = LineBuffer(pipe[1], {})
     with lines.applicationbound():
         logger.info('decided', text='\ud800', kind=object, count=3)
@@ -96,7 +96,7 @@
     assert line['count'] == 3
 
 
-def test_long_lines_are_bounded_by_their_bytes(pipe):
+def test_buffer_is_limited_in_bytes(pipe):
     lines = LineBuffer(pipe[1], {})
     with lines.applicationbound():
         for _ in range(3000):
@@ -105,14 +105,14 @@
     assert lines.dropped_count > 0
 
 
-def test_end_waits_for_a_slow_reader_and_not_for_an_absent_one(pipe):
+def test_drain_waits_for_slow_reader_up_to_limit(pipe):
     lines = LineBuffer(pipe[1], {})
     with lines.applicationbound():
         for number in range(2000):
             logger.info('decided', number=number, text='x' * 100)
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     lines.drain(0.2)
-    assert 0.2 <= time.monotonic() - began_s < 0.6
+    assert 0.2 <= time.monotonic() - started_s < 0.6
     found = []
 
     def read():
@@ -130,20 +130,20 @@
     assert numbers == list(range(2000))
 
 
-def test_reader_that_is_gone_ends_nothing():
+def test_closed_reader_raises_nothing():
     reader, writer = os.pipe()
     lines = LineBuffer(writer, {})
     os.close(reader)
     with lines.applicationbound():
         logger.info('decided')
     lines.flush()
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     lines.drain(5)
-    assert time.monotonic() - began_s < 1
+    assert time.monotonic() - started_s < 1
     os.close(writer)
 
 
-def test_full_disk_ends_nothing_and_is_told_afterwards(pipe):
+def test_full_disk_raises_nothing_and_is_logged_later(pipe):
     full = os.open('/dev/full', os.O_WRONLY)
     lines = LineBuffer(full, {})
     with lines.applicationbound():
@@ -161,8 +161,8 @@
     assert found['log was not written']['count'] == 2
 
 
-def test_lines_wait_for_a_file_that_takes_none_for_a_while(pipe):
-    """Each instance whose log was not taken ended soon after each start."""
+def test_lines_are_kept_while_writing_fails(pipe):
+    """Otherwise an instance would end soon after its start if its log fails."""
     reader, writer = os.pipe()
     lines = LineBuffer(writer, {})
     os.close(reader)
@@ -177,6 +177,8 @@
     os.close(writer)
     found = read_lines(pipe[0])
     assert [one['number'] for one in found if 'number' in one] == [1, 2]
-    (told,) = [one for one in found if one['message'] == 'log was not written']
-    assert told['count'] == 2
-    assert 'Broken pipe' in told['reason']
+    (failure,) = [
+        one for one in found if one['message'] == 'log was not written'
+    ]
+    assert failure['count'] == 2
+    assert 'Broken pipe' in failure['reason']
--- a/tests/tulippin/test_peers_grpc.py
+++ b/tests/tulippin/test_peers_grpc.py
@@ -1,4 +1,4 @@
-"""Peers over gRPC, plain and with mutual TLS."""
+"""Communication between peers over gRPC, with and without mutual TLS."""
 
 import pytest
 import trio
@@ -17,7 +17,7 @@
 from tulippin.ports import Envelope
 
 ENVELOPE = Envelope('i:1', 'i', 3, (BundleWanted(7), BundleWanted(8)))
-ANY = '127.0.0.1:0'
+ANY_PORT = '127.0.0.1:0'
 
 
 def make_credentials(authority):
@@ -25,11 +25,11 @@
     return PeerCredentials(certificate, key, to_pem(*authority)[0], NAME)
 
 
-def test_envelope_survives_the_wire():
+def test_envelope_round_trip():
     assert decode_envelope(encode_envelope(ENVELOPE)) == ENVELOPE
 
 
-def test_unknown_kind_is_an_error():
+def test_unknown_message_kind_is_rejected():
     message = encode_envelope(ENVELOPE)
     message.messages[0].kind = 'Nonsense'
     with pytest.raises(InputError):
@@ -40,7 +40,7 @@
     received = []
     with (
         PeerServer(
-            ANY, received.append, lambda: (4, 'row'), server_credentials
+            ANY_PORT, received.append, lambda: (4, 'row'), server_credentials
         ) as server,
         GrpcPeers(credentials) as peers,
     ):
@@ -65,7 +65,7 @@
     assert received == [ENVELOPE]
 
 
-async def test_foreign_certificate_is_refused():
+async def test_certificate_of_other_authority_is_rejected():
     with pytest.raises(UnavailableError):
         await deliver(
             make_credentials(make_certificate()),
@@ -73,14 +73,16 @@
         )
 
 
-async def test_silent_peer_is_unavailable():
+async def test_unreachable_peer_is_unavailable():
     with GrpcPeers() as peers, pytest.raises(UnavailableError):
         await peers.deliver('127.0.0.1:9', ENVELOPE)
 
 
-async def test_port_in_use_has_a_code():
-    with PeerServer(ANY, print, lambda: (0, '')) as server:
-        taken = PeerServer(f'127.0.0.1:{server.port}', print, lambda: (0, ''))
-        with pytest.raises(UnavailableError) as caught, taken:
+async def test_port_in_use_has_error_code():
+    with PeerServer(ANY_PORT, print, lambda: (0, '')) as server:
+        second_server = PeerServer(
+            f'127.0.0.1:{server.port}', print, lambda: (0, '')
+        )
+        with pytest.raises(UnavailableError) as caught, second_server:
             pass
     assert caught.value.code == 'address_in_use'
