--- a/src/tulippin/bundle_store.py
+++ b/src/tulippin/bundle_store.py
@@ -109,7 +109,7 @@
         self._require_state(bundle, BundleState.PROPOSED, 'approved')
         if signature.operator == bundle.proposed.operator:
             raise DeniedError(
-                'a bundle must not be approved by its own proposer',
+                'a bundle is approved by another operator than its proposer',
                 code='same_operator',
             )
         verify(self.keys, signature, 'approve', number, bundle.digest)
@@ -165,7 +165,7 @@
             )
         if bundle.state is BundleState.RETIRED:
             raise ConflictError(
-                f'bundle {number} is already retired', code='wrong_state'
+                f'bundle {number} is retired already', code='wrong_state'
             )
         verify(self.keys, signature, 'retire', number, bundle.digest)
         retired = attrs.evolve(
@@ -227,5 +227,5 @@
         resolved = await commit_resolved(self.table, conditions, writes)
         if not resolved.version:
             raise ConflictError(
-                f'another operator made a change first; {advice}', code='raced'
+                f'another operator was first; {advice}', code='raced'
             )
--- a/src/tulippin/bundles.py
+++ b/src/tulippin/bundles.py
@@ -201,15 +201,11 @@
         proposer is also the approver.
     """
     if row.digest != compute_digest(row.text):
-        raise DeniedError('the digest does not match the text', 'bad_digest')
+        raise DeniedError('the digest is not that of the text', 'bad_digest')
     if row.approved is None or row.rolled is None:
-        raise DeniedError(
-            'the bundle is not both approved and rolled', 'unsigned'
-        )
+        raise DeniedError('the bundle is not approved and rolled', 'unsigned')
     if row.approved.operator == row.proposed.operator:
-        raise DeniedError(
-            'proposer and approver are the same operator', 'same_operator'
-        )
+        raise DeniedError('proposer and approver are the same', 'same_operator')
     verify(keys, row.proposed, 'propose', 0, row.digest)
     verify(keys, row.approved, 'approve', row.number, row.digest)
     verify(keys, row.rolled, 'roll', row.number, row.digest)
@@ -305,7 +301,7 @@
             self._findings.append(
                 Finding(
                     f'{self._source}: [policy NAME]',
-                    'at least one policy is required',
+                    'no policy is given',
                     'add a section such as [policy baseline]',
                 )
             )
@@ -319,13 +315,13 @@
                 reader.report(
                     'policies',
                     f'no section [policy {name}]',
-                    'add it or remove the name',
+                    'add it or take the name out',
                 )
         window_s = reader.get_int('window_s', 60, 1, 86400)
         wash_out_s = reader.get_int('wash_out_s', min(5, window_s // 2), 0)
         if wash_out_s >= window_s:
             reader.report(
-                'wash_out_s', 'must be below window_s', 'make the window longer'
+                'wash_out_s', 'not below window_s', 'make the window longer'
             )
         trial = Trial(
             policies=tuple(names) or tuple(policies),
--- a/src/tulippin/ini.py
+++ b/src/tulippin/ini.py
@@ -49,7 +49,7 @@
     except configparser.Error as error:
         finding = Finding(source, str(error).replace('\n', ' '))
         raise InputError(
-            f'{source} is not a valid INI file', [finding], code='bad_ini'
+            f'{source} is not INI', [finding], code='bad_ini'
         ) from error
     return parser
 
@@ -119,9 +119,7 @@
             return text
         if text:
             allowed = ', '.join(choices)
-            self.report(
-                key, f'{text!r} is not a known value', f'one of: {allowed}'
-            )
+            self.report(key, f'{text!r} is not known', f'one of: {allowed}')
         return choices[0]
 
     def get_int(
@@ -200,11 +198,9 @@
     """
     host, _, port = address.rpartition(':')
     if not (may_be_name and _HOST_NAME.fullmatch(host)) and not _is_ip(host):
-        reader.report(
-            key, f'{address!r} has no valid IP address', 'write IP:PORT'
-        )
+        reader.report(key, f'{address!r} has no IP number', 'write IP:PORT')
     elif parse_port(port) is None:
-        reader.report(key, f'{address!r} has no valid port', 'write IP:PORT')
+        reader.report(key, f'{address!r} has no port', 'write IP:PORT')
 
 
 def _is_ip(host: str) -> bool:
@@ -228,7 +224,7 @@
         if key and not _HEX_KEY.fullmatch(key):
             reader.report(
                 name,
-                'is not an Ed25519 public key of 64 hex digits',
+                'is no Ed25519 public key of 64 hex digits',
                 'make one with "tulippin key make"',
             )
     return public_keys
--- a/src/tulippin/platform_http.py
+++ b/src/tulippin/platform_http.py
@@ -53,11 +53,9 @@
     """Return an answer, or raise an error for an unexpected status."""
     if answer.status == _UNAVAILABLE:
         # A 503 comes from the service itself and means: no effect.
-        raise UnavailableError('the platform is unavailable')
+        raise UnavailableError('the store refuses calls')
     if answer.status not in {_OK, _NOT_FOUND}:
-        raise AnswerLostError(
-            f'the platform answered with status {answer.status}'
-        )
+        raise AnswerLostError(f'the store answers {answer.status}')
     return answer
 
 
@@ -67,7 +65,7 @@
         return codec.decode(answer.body, kind)
     except InputError as error:
         raise AnswerLostError(
-            f'the platform sent an invalid answer: {error.message}'
+            f'the platform answers nonsense: {error.message}'
         ) from error
 
 
--- a/src/tulippin/row_table.py
+++ b/src/tulippin/row_table.py
@@ -74,5 +74,5 @@
             self.store, transaction, _COMMIT_TIMEOUT_S
         )
         if not result.is_done and not conditions:
-            raise AnswerLostError('the store rejected an unconditional write')
+            raise AnswerLostError('the store refused a write')
         return result.version if result.is_done else 0
--- a/src/tulippin/store.py
+++ b/src/tulippin/store.py
@@ -229,7 +229,7 @@
             ],
         )
         if not resolved.version:
-            raise FencedError('the session id is already in use')
+            raise FencedError('the session id is taken already')
         self.session_version = resolved.version
 
     async def renew(self, lease: LeaseRow) -> None:
@@ -364,7 +364,7 @@
     async def _load_base(self, unit: str, key: str) -> Ledger:
         body = await read_object(self.objects, key)
         if body is None:
-            raise FencedError(f'the object {key} is missing')
+            raise FencedError(f'the object {key} is gone')
         _, raw = codec.split_ledgers(body)[unit]
         return codec.decode_ledger(unit, raw)
 
