--- a/src/tulippin/_calls.py
+++ b/src/tulippin/_calls.py
@@ -34,7 +34,7 @@
 @handle.register
 def _(event: JobRequested, context: Context) -> None:
     session = context.state.session
-    if session.refusing or session.standing is Standing.LEFT:
+    if session.refuses_requests or session.standing is Standing.LEFT:
         reply = JobReply('stopping', None, _RETRY_AFTER_MS)
         context.emit(fx.AnswerJob(event.call_id, reply))
         return
--- a/src/tulippin/_cells.py
+++ b/src/tulippin/_cells.py
@@ -45,7 +45,7 @@
             worker = _get_or_add_worker(context, cell, entry.worker_id)
             _worker_state.hold(worker, task_id, entry.spec, entry.reserved)
         else:
-            cell.report_due[task_id] = context.now_ms
+            cell.report_due_ms[task_id] = context.now_ms
 
 
 def update_workers(context: Context, cell: CellState) -> None:
@@ -60,7 +60,7 @@
         if info.cell == name:
             worker = _get_or_add_worker(context, cell, info.worker_id)
             if worker.info.standing is not info.standing:
-                worker.dirty = True
+                worker.needs_sync = True
             worker.info = info
             worker.absent = False
     for worker_id, worker in list(cell.workers.items()):
@@ -140,17 +140,17 @@
 
 
 def _resend_reports(context: Context, cell: CellState) -> None:
-    for task_id, due_ms in list(cell.report_due.items()):
+    for task_id, due_ms in list(cell.report_due_ms.items()):
         if context.now_ms < due_ms:
             continue
         entry = cell.ledger.attempts.get(task_id)
         if entry is None or entry.outcome is None:
-            del cell.report_due[task_id]
+            del cell.report_due_ms[task_id]
             continue
         _report_outcome(
             context, cell, entry.task, entry.outcome, entry.checkpoint
         )
-        cell.report_due[task_id] = (
+        cell.report_due_ms[task_id] = (
             context.now_ms + context.state.config.resend_every_ms
         )
 
@@ -333,8 +333,8 @@
     entry = cell.ledger.attempts.get(task.task_id)
     if entry is None or entry.task.attempt != task.attempt:
         return
-    if entry.outcome is not None and task.task_id in cell.report_due:
-        del cell.report_due[task.task_id]
+    if entry.outcome is not None and task.task_id in cell.report_due_ms:
+        del cell.report_due_ms[task.task_id]
         context.record(cell, AttemptForgotten(task.task_id, task.attempt))
 
 
@@ -366,7 +366,7 @@
     worker = cell.workers.get(entry.worker_id)
     if worker is not None:
         worker.stopping[task_id] = 'cancelled'
-        worker.dirty = True
+        worker.needs_sync = True
 
 
 @settle.register
@@ -375,16 +375,16 @@
     unit.placing.pop(task.task_id, None)
     worker = unit.workers.get(record.worker_id)
     if worker is not None:
-        worker.dirty = True
+        worker.needs_sync = True
         if record.spec.priority >= URGENT_PRIORITY:
-            worker.hurry = True
+            worker.needs_urgent_sync = True
     context.state.counters['attempts_placed'] += 1
     context.send_owner(task.home, TaskHeld(unit.unit, unit.epoch, task))
 
 
 @settle.register
 def _(record: AttemptEnded, unit: CellState, context: Context) -> None:
-    unit.ending.pop(record.task_id, None)
+    unit.ending_attempts.pop(record.task_id, None)
     entry = unit.ledger.attempts.get(record.task_id)
     if entry is None or entry.outcome is None:
         return
@@ -397,7 +397,7 @@
         _worker_state.remove_endpoint(
             unit, entry.spec.job_class, record.task_id
         )
-    unit.report_due[record.task_id] = (
+    unit.report_due_ms[record.task_id] = (
         context.now_ms + context.state.config.resend_every_ms
     )
     context.state.counters[f'attempts_{record.outcome.value}'] += 1
--- a/src/tulippin/_context.py
+++ b/src/tulippin/_context.py
@@ -107,7 +107,7 @@
         peer = self.state.peers.get(session_id)
         if peer is None:
             return session_id == self.state.session.session_id
-        since_ms = max(peer.last_heard_ms, peer.first_seen_ms)
+        since_ms = max(peer.last_received_ms, peer.first_seen_ms)
         return self.now_ms - since_ms < self.state.config.silence_limit_ms
 
     def flush_outbox(self) -> None:
--- a/src/tulippin/_membership.py
+++ b/src/tulippin/_membership.py
@@ -126,7 +126,7 @@
     """Record when a cell last reported a task of each service."""
     for summary in message.summaries:
         for service in summary.services:
-            context.state.service_told_ms[service] = context.now_ms
+            context.state.service_reported_ms[service] = context.now_ms
 
 
 def make_gossip(context: Context) -> Gossip:
@@ -246,7 +246,7 @@
             )
             continue
         if peer.lease.version != lease.version:
-            peer.changed_ms = context.now_ms
+            peer.lease_changed_ms = context.now_ms
         peer.lease = lease
         peer.leaving = lease.leaving
     for session_id in set(state.peers) - live_ids:
@@ -258,7 +258,7 @@
     """Remove a peer whose session ended, and all that depends on it."""
     state = context.state
     state.peers.pop(session_id, None)
-    state.heard_sequences.pop(session_id, None)
+    state.received_sequences.pop(session_id, None)
     state.model.drop_shared(session_id)
     state.ended_sessions[session_id] = context.now_ms
     if len(state.ended_sessions) > _MAX_ENDED_SESSIONS:
@@ -299,16 +299,16 @@
 @handle.register
 def _(event: PeerReceived, context: Context) -> None:
     state = context.state
-    last_sequence = state.heard_sequences.get(event.session_id, 0)
+    last_sequence = state.received_sequences.get(event.session_id, 0)
     is_ended = event.session_id in state.ended_sessions
     if event.sequence <= last_sequence or (
         is_ended and state.config.seams.fencing
     ):
         return
-    state.heard_sequences[event.session_id] = event.sequence
+    state.received_sequences[event.session_id] = event.sequence
     peer = state.peers.get(event.session_id)
     if peer is not None:
-        peer.last_heard_ms = context.now_ms
+        peer.last_received_ms = context.now_ms
     for message in event.messages:
         receive(message, event.session_id, context)
 
--- a/src/tulippin/_placing.py
+++ b/src/tulippin/_placing.py
@@ -148,6 +148,6 @@
             continue
         limit = min(priority, URGENT_PRIORITY)
         if entry.spec.priority < limit:
-            lost_ms = worker.unsaved_ms.get(task_id, 0)
+            lost_ms = worker.unsaved_progress_ms.get(task_id, 0)
             evictable.append((entry.spec.priority, lost_ms, task_id))
     return [task_id for _, _, task_id in sorted(evictable)]
--- a/src/tulippin/_pressure.py
+++ b/src/tulippin/_pressure.py
@@ -50,12 +50,15 @@
                 entry.spec.job_class, batch, sample.slowdown
             )
     for run in report.runs:
-        worker.unsaved_ms[run.task_id] = run.progress_ms
-    for task_id in set(worker.unsaved_ms) - worker.attempts:
-        del worker.unsaved_ms[task_id]
+        worker.unsaved_progress_ms[run.task_id] = run.progress_ms
+    for task_id in set(worker.unsaved_progress_ms) - worker.attempts:
+        del worker.unsaved_progress_ms[task_id]
     current = dict(worker.batch_counts)
-    if not worker.residents or worker.residents[-1][1] != current:
-        worker.residents.append((context.now_ms, current))
+    if (
+        not worker.batch_count_history
+        or worker.batch_count_history[-1][1] != current
+    ):
+        worker.batch_count_history.append((context.now_ms, current))
 
 
 def summarize_harm(
@@ -120,7 +123,7 @@
 
 def _get_batch_counts_at(worker: WorkerState, at_ms: int) -> dict[str, int]:
     """Return the counts of batch classes on a worker at a past time."""
-    for since_ms, batch in reversed(worker.residents):
+    for since_ms, batch in reversed(worker.batch_count_history):
         if since_ms <= at_ms:
             return batch
     return {}
@@ -167,13 +170,13 @@
     most harmful one is evicted. The cooldown after each step prevents a
     burst of evictions before the previous step takes effect.
     """
-    if context.now_ms < worker.relief_after_ms:
+    if context.now_ms < worker.next_relief_ms:
         return
     if worker.pressure < policy.throttle_ratio * _UNTHROTTLE_FRACTION:
         if worker.throttled:
             worker.throttled.clear()
-            worker.hurry = True
-            worker.relief_after_ms = context.now_ms + _THROTTLE_COOLDOWN_MS
+            worker.needs_urgent_sync = True
+            worker.next_relief_ms = context.now_ms + _THROTTLE_COOLDOWN_MS
         return
     if worker.pressure < policy.throttle_ratio:
         return
@@ -183,8 +186,8 @@
     unthrottled = set(victims) - worker.throttled
     if unthrottled:
         worker.throttled |= unthrottled
-        worker.hurry = True
-        worker.relief_after_ms = context.now_ms + _THROTTLE_COOLDOWN_MS
+        worker.needs_urgent_sync = True
+        worker.next_relief_ms = context.now_ms + _THROTTLE_COOLDOWN_MS
     elif worker.pressure >= policy.evict_ratio:
         victim = max(
             victims,
@@ -193,7 +196,7 @@
             ),
         )
         _worker_state.evict(context, cell, worker, victim)
-        worker.relief_after_ms = context.now_ms + _EVICTION_COOLDOWN_MS
+        worker.next_relief_ms = context.now_ms + _EVICTION_COOLDOWN_MS
 
 
 def _get_eviction_key(
@@ -201,7 +204,7 @@
 ) -> tuple[float, int]:
     entry = cell.ledger.attempts[task_id]
     harm = _get_class_harm(context.state.model, worker, entry.spec.job_class)
-    return harm, -worker.unsaved_ms.get(task_id, 0)
+    return harm, -worker.unsaved_progress_ms.get(task_id, 0)
 
 
 def count_ended_attempt(
@@ -223,7 +226,7 @@
         worker = cell.workers.get(entry.worker_id)
         lost_ms = 0
         if worker is not None:
-            lost_ms = worker.unsaved_ms.get(entry.task.task_id, 0)
+            lost_ms = worker.unsaved_progress_ms.get(entry.task.task_id, 0)
         stats.evicted_count += 1
         stats.wasted_ms += lost_ms
         counts.evicted_count += 1
--- a/src/tulippin/_proofs.py
+++ b/src/tulippin/_proofs.py
@@ -106,9 +106,9 @@
         return True
     if outcome.code != 'overloaded':
         return False
-    parent.full_cells.add(parent.try_unit)
+    parent.overloaded_cells.add(parent.last_try_unit)
     return any(
-        unit not in parent.full_cells
+        unit not in parent.overloaded_cells
         for unit, _ in _serving.iter_serving(context, parent.request.service)
     )
 
--- a/src/tulippin/_requests.py
+++ b/src/tulippin/_requests.py
@@ -77,7 +77,10 @@
 def _(event: RequestArrived, context: Context) -> None:
     state = context.state
     state.counters['requests'] += 1
-    if state.session.refusing or state.session.standing is Standing.LEFT:
+    if (
+        state.session.refuses_requests
+        or state.session.standing is Standing.LEFT
+    ):
         context.emit(
             fx.AnswerRequest(event.call_id, _proofs.make_not_run('stopping'))
         )
@@ -130,7 +133,7 @@
         code = 'moved' if was_served else 'no_endpoint'
         _handle_try_outcome(context, ticket, _proofs.make_not_run(code))
         return
-    ticket.try_unit = unit
+    ticket.last_try_unit = unit
     cell = context.state.cells.get(unit)
     if cell is None:
         _forward(context, ticket, unit)
@@ -406,13 +409,13 @@
             # The request may still occupy the slot; the worker's next report
             # shows whether it does.
             worker.foreign_busy += 1
-            worker.dirty = True
+            worker.needs_sync = True
         if outcome.code == 'refused':
-            worker.avoid_until_ms = context.now_ms + _REFUSAL_BACKOFF_MS
-            worker.hurry = True
+            worker.backoff_until_ms = context.now_ms + _REFUSAL_BACKOFF_MS
+            worker.needs_urgent_sync = True
         if event.endpoint_leaving:
             worker.leaving = True
-            worker.hurry = True
+            worker.needs_urgent_sync = True
         observe_request(context, cell, worker, ticket, event)
     _finish(context, ticket, outcome)
     if found is not None:
--- a/src/tulippin/_serving.py
+++ b/src/tulippin/_serving.py
@@ -23,7 +23,9 @@
     """
     service = ticket.request.service
     free_slots = dict(iter_serving(context, service))
-    not_full = [unit for unit in free_slots if unit not in ticket.full_cells]
+    not_full = [
+        unit for unit in free_slots if unit not in ticket.overloaded_cells
+    ]
     names = sorted(not_full or free_slots)
     own = [
         unit
@@ -43,7 +45,7 @@
     While a cell changes owners, no instance reports its services: the old
     owner has released it, and the new one is still loading it.
     """
-    reported_ms = context.state.service_told_ms.get(service)
+    reported_ms = context.state.service_reported_ms.get(service)
     return (
         reported_ms is not None
         and context.now_ms - reported_ms < _RECENTLY_SERVED_MS
@@ -91,7 +93,7 @@
         for worker in workers
         if _worker_state.is_serving(context, worker)
         and worker.free_slots > 0
-        and context.now_ms >= worker.avoid_until_ms
+        and context.now_ms >= worker.backoff_until_ms
     ]
     return min(
         free,
--- a/src/tulippin/_spreading.py
+++ b/src/tulippin/_spreading.py
@@ -45,7 +45,7 @@
     if peer is None:
         return True
     limit_ms = state.config.lease_ms + state.config.lease_margin_ms
-    return context.now_ms - peer.changed_ms > limit_ms
+    return context.now_ms - peer.lease_changed_ms > limit_ms
 
 
 def get_distance(context: Context, session_id: str, unit: str) -> int:
--- a/src/tulippin/_units.py
+++ b/src/tulippin/_units.py
@@ -235,7 +235,7 @@
     return sorted(
         session_id
         for session_id, peer in state.peers.items()
-        if context.now_ms - peer.changed_ms > limit_ms
+        if context.now_ms - peer.lease_changed_ms > limit_ms
     )
 
 
@@ -397,9 +397,13 @@
     is_drain_over = not state.config.seams.stop_drain or (
         context.now_ms - since_ms >= state.config.drain_limit_ms
     )
-    session.refusing = session.refusing or is_drain_over or _is_drained(context)
+    session.refuses_requests = (
+        session.refuses_requests or is_drain_over or _is_drained(context)
+    )
     is_busy = bool(state.tickets or state.job_calls or state.report_calls)
-    if not session.refusing or (is_busy and state.config.seams.stop_drain):
+    if not session.refuses_requests or (
+        is_busy and state.config.seams.stop_drain
+    ):
         return
     session.standing = Standing.LEFT
     context.emit(fx.CloseSession(session.session_id))
--- a/src/tulippin/_worker_state.py
+++ b/src/tulippin/_worker_state.py
@@ -5,7 +5,7 @@
 import collections
 
 from tulippin._context import Context
-from tulippin.state import CellState, Seams, WorkerState
+from tulippin.state import CellState, Safeguards, WorkerState
 from tulippin.types import JobKind, JobSpec, Resources, WorkerStanding
 
 _CLOCK_DRIFT_DIVISOR = 50
@@ -64,7 +64,7 @@
     return worker.service_counts if service else worker.batch_counts
 
 
-def is_leaving(worker: WorkerState, seams: Seams) -> bool:
+def is_leaving(worker: WorkerState, seams: Safeguards) -> bool:
     """Return whether a worker is leaving and must get no new work."""
     if not seams.drain:
         return False
@@ -117,7 +117,7 @@
 ) -> None:
     """Request that the worker checkpoint and stop an attempt."""
     if worker.stopping.setdefault(task_id, 'evicted') == 'evicted':
-        worker.hurry = True
+        worker.needs_urgent_sync = True
 
 
 def find_worker(
--- a/src/tulippin/_workers.py
+++ b/src/tulippin/_workers.py
@@ -65,10 +65,10 @@
     Starts of ordinary work are batched for ``sync_gap_ms``, because each
     sync costs a report of everything that the worker holds.
     """
-    if worker.hurry or context.now_ms >= worker.next_sync_ms:
+    if worker.needs_urgent_sync or context.now_ms >= worker.next_sync_ms:
         return True
     gap_ms = context.state.config.sync_gap_ms
-    return worker.dirty and context.now_ms >= worker.sync_sent_ms + gap_ms
+    return worker.needs_sync and context.now_ms >= worker.sync_sent_ms + gap_ms
 
 
 def _is_lapsed(context: Context, worker: WorkerState) -> bool:
@@ -80,7 +80,7 @@
         return False
     # The silence may come from a pause of this instance, so the worker counts
     # as lost only if a sync sent after the lapse fails too.
-    confirmed = worker.failed_sent_ms >= worker.lapse_ms
+    confirmed = worker.failed_sync_sent_ms >= worker.lapse_ms
     return confirmed or not worker.info.address
 
 
@@ -119,7 +119,7 @@
         return
     if not context.may_serve:
         return
-    worker.dirty = worker.hurry = False
+    worker.needs_sync = worker.needs_urgent_sync = False
     worker.sequence += 1
     worker.sync_in_flight = worker.sequence
     worker.sync_sent_ms = context.now_ms
@@ -138,7 +138,7 @@
         lease_until_ms = worker.clock_ms + config.worker_lease_ms
     renew: list[AttemptKey] = []
     start: list[StartTask] = []
-    stop = [AttemptKey(*key) for key in sorted(worker.orphans)]
+    stop = [AttemptKey(*key) for key in sorted(worker.orphaned_attempts)]
     for entry in _iter_unfinished(cell, worker):
         task_id = entry.task.task_id
         key = AttemptKey(task_id, entry.task.attempt)
@@ -161,7 +161,7 @@
         tuple(start),
         tuple(stop),
         tuple(_iter_throttled(cell, worker)),
-        tuple(AttemptKey(*key) for key in sorted(worker.forgotten)),
+        tuple(AttemptKey(*key) for key in sorted(worker.forgotten_attempts)),
     )
 
 
@@ -173,7 +173,7 @@
         entry = cell.ledger.attempts.get(task_id)
         if entry is None or entry.outcome is not None:
             continue
-        if cell.ending.get(task_id) != entry.task.attempt:
+        if cell.ending_attempts.get(task_id) != entry.task.attempt:
             yield entry
 
 
@@ -213,7 +213,7 @@
         return
     if event.epoch == cell.epoch and event.sequence == worker.sync_in_flight:
         worker.sync_in_flight = 0
-        worker.failed_sent_ms = worker.sync_sent_ms
+        worker.failed_sync_sent_ms = worker.sync_sent_ms
         worker.next_sync_ms = context.now_ms + _SYNC_RETRY_DELAY_MS
 
 
@@ -233,7 +233,7 @@
     elif context.state.session.standing is Standing.DETACHED:
         _remove_ended_endpoints(cell, worker, event.report)
     _requests.dispatch_to_worker(context, cell, worker)
-    if worker.hurry:
+    if worker.needs_urgent_sync:
         send_sync(context, cell, worker)
 
 
@@ -248,7 +248,7 @@
     worker.lost = False
     if first:
         worker.foreign_busy = report.busy_slots
-        worker.hurry = True
+        worker.needs_urgent_sync = True
 
 
 def _update_foreign_busy(worker: WorkerState, report: WorkerReport) -> None:
@@ -273,8 +273,8 @@
 ) -> None:
     """Reconcile a worker's report with the cell's ledger."""
     worker.incarnation = report.incarnation
-    worker.orphans.clear()
-    worker.forgotten.clear()
+    worker.orphaned_attempts.clear()
+    worker.forgotten_attempts.clear()
     reported = set()
     for run in report.runs:
         reported.add(run.task_id)
@@ -296,10 +296,10 @@
     )
     if entry is None or not is_assigned_here or entry.outcome is not None:
         if run.state is RunState.RUNNING:
-            worker.orphans.add(key)
-            worker.hurry = True
+            worker.orphaned_attempts.add(key)
+            worker.needs_urgent_sync = True
         else:
-            worker.forgotten.add(key)
+            worker.forgotten_attempts.add(key)
         return
     if run.state is RunState.RUNNING:
         _record_running(context, cell, worker, entry)
@@ -320,7 +320,7 @@
 ) -> None:
     task_id = entry.task.task_id
     if task_id in worker.stopping:
-        worker.dirty = True
+        worker.needs_sync = True
     if task_id in worker.started:
         return
     worker.started.add(task_id)
@@ -343,7 +343,7 @@
     elif task_id in worker.stopping:
         record_outcome(context, cell, entry, TaskOutcome.EVICTED)
     else:
-        worker.dirty = True
+        worker.needs_sync = True
 
 
 def _remove_ended_endpoints(
@@ -373,9 +373,9 @@
     task = entry.task
     if cell.phase is not Phase.ACTIVE:
         return
-    if cell.ending.get(task.task_id) == task.attempt:
+    if cell.ending_attempts.get(task.task_id) == task.attempt:
         return
-    cell.ending[task.task_id] = task.attempt
+    cell.ending_attempts[task.task_id] = task.attempt
     context.record(
         cell,
         AttemptEnded(task.task_id, task.attempt, outcome, checkpoint),
--- a/src/tulippin/dump.py
+++ b/src/tulippin/dump.py
@@ -42,7 +42,7 @@
                 session_id: {
                     'instance_id': peer.lease.instance_id,
                     'failure_domain': peer.lease.failure_domain,
-                    'silent_ms': state.now_ms - peer.changed_ms,
+                    'silent_ms': state.now_ms - peer.lease_changed_ms,
                     'bundle_number': peer.bundle_number,
                     'store_reachable': peer.store_reachable,
                     'leaving': peer.leaving,
--- a/src/tulippin/http_operators.py
+++ b/src/tulippin/http_operators.py
@@ -101,7 +101,7 @@
                 session_id,
                 'leaving' if peer.leaving else 'live',
                 peer.bundle_number,
-                state.now_ms - peer.changed_ms,
+                state.now_ms - peer.lease_changed_ms,
             )
             for session_id, peer in state.peers.items()
         )
--- a/src/tulippin/shell.py
+++ b/src/tulippin/shell.py
@@ -190,7 +190,7 @@
             return ''
         limit_ms = state.config.silence_limit_ms
         awaits_peers = any(
-            peer.last_heard_ms < 0
+            peer.last_received_ms < 0
             and state.now_ms - peer.first_seen_ms < limit_ms
             for peer in state.peers.values()
         )
--- a/src/tulippin/state.py
+++ b/src/tulippin/state.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Seams:
+class Safeguards:
     """Safeguards that only tests switch off, to test the history checker.
 
     Parameters
@@ -112,7 +112,7 @@
     retention_ms: int = 86400000
     starts_per_tick: int = 200
     stops_per_sync: int = 50
-    seams: Seams = Seams()
+    seams: Safeguards = Safeguards()
 
 
 class Standing(enum.Enum):
@@ -164,7 +164,7 @@
     writing_ownership: bool = False
     acquired_version: int = 0
     stopping_since_ms: int | None = None
-    refusing: bool = False
+    refuses_requests: bool = False
     wall_offset_ms: int = 0
 
 
@@ -173,9 +173,9 @@
     """The session of another instance, as this instance sees it."""
 
     lease: LeaseRow
-    changed_ms: int
+    lease_changed_ms: int
     first_seen_ms: int = 0
-    last_heard_ms: int = -1
+    last_received_ms: int = -1
     bundle_number: int = 0
     store_reachable: bool = True
     leaving: bool = False
@@ -212,10 +212,10 @@
     sequence: int = 0
     sync_in_flight: int = 0
     sync_sent_ms: int = 0
-    failed_sent_ms: int = -1
+    failed_sync_sent_ms: int = -1
     next_sync_ms: int = 0
-    dirty: bool = False
-    hurry: bool = False
+    needs_sync: bool = False
+    needs_urgent_sync: bool = False
     last_reply_ms: int = -1
     lapse_ms: int = 0
     lost: bool = False
@@ -229,23 +229,23 @@
     batch_counts: collections.Counter[str] = attrs.field(
         factory=collections.Counter
     )
-    avoid_until_ms: int = 0
+    backoff_until_ms: int = 0
     started: set[str] = attrs.field(factory=set)
     throttled: set[str] = attrs.field(factory=set)
     stopping: dict[str, str] = attrs.field(factory=dict)
-    orphans: set[tuple[str, int]] = attrs.field(factory=set)
-    forgotten: set[tuple[str, int]] = attrs.field(factory=set)
+    orphaned_attempts: set[tuple[str, int]] = attrs.field(factory=set)
+    forgotten_attempts: set[tuple[str, int]] = attrs.field(factory=set)
     dispatched: dict[int, int] = attrs.field(factory=dict)
     foreign_busy: int = 0
     failed_jobs: dict[str, int] = attrs.field(factory=dict)
     quarantined_until_ms: int = 0
     quarantine_count: int = 0
-    unsaved_ms: dict[str, int] = attrs.field(factory=dict)
-    residents: collections.deque[tuple[int, dict[str, int]]] = attrs.field(
-        factory=lambda: collections.deque(maxlen=64)
+    unsaved_progress_ms: dict[str, int] = attrs.field(factory=dict)
+    batch_count_history: collections.deque[tuple[int, dict[str, int]]] = (
+        attrs.field(factory=lambda: collections.deque(maxlen=64))
     )
     pressure: float = 0.0
-    relief_after_ms: int = 0
+    next_relief_ms: int = 0
 
     @property
     def worker_id(self) -> str:
@@ -281,8 +281,8 @@
     placing: dict[str, TaskRef] = attrs.field(factory=dict)
     waiting: dict[str, t.Any] = attrs.field(factory=dict)
     refused: dict[str, TaskRef] = attrs.field(factory=dict)
-    ending: dict[str, int] = attrs.field(factory=dict)
-    report_due: dict[str, int] = attrs.field(factory=dict)
+    ending_attempts: dict[str, int] = attrs.field(factory=dict)
+    report_due_ms: dict[str, int] = attrs.field(factory=dict)
     home_epochs: dict[str, int] = attrs.field(factory=dict)
     queues: dict[str, collections.deque[int]] = attrs.field(factory=dict)
     endpoints: dict[str, dict[str, str]] = attrs.field(factory=dict)
@@ -400,9 +400,9 @@
     target_session: str = ''
     policy: str = ''
     retry_at_ms: int | None = None
-    try_unit: str = ''
+    last_try_unit: str = ''
     try_count: int = 0
-    full_cells: set[str] = attrs.field(factory=set)
+    overloaded_cells: set[str] = attrs.field(factory=set)
     waiters: list[Origin] = attrs.field(factory=list)
     last_outcome: RequestOutcome | None = None
     sent_ms: int = 0
@@ -440,9 +440,9 @@
     ownership_version: int = 0
     peers: dict[str, PeerState] = attrs.field(factory=dict)
     ended_sessions: dict[str, int] = attrs.field(factory=dict)
-    heard_sequences: dict[str, int] = attrs.field(factory=dict)
+    received_sequences: dict[str, int] = attrs.field(factory=dict)
     # When any cell owner last reported a task of the service.
-    service_told_ms: dict[str, int] = attrs.field(factory=dict)
+    service_reported_ms: dict[str, int] = attrs.field(factory=dict)
     journal: JournalState = attrs.field(factory=JournalState)
     workers: dict[str, WorkerInfo] = attrs.field(factory=dict)
     listed_instances: frozenset[str] = frozenset()
--- a/src/tulippin/store.py
+++ b/src/tulippin/store.py
@@ -21,7 +21,7 @@
 from tulippin.ledger import CellLedger, Ledger, RangeLedger, apply
 from tulippin.ports import Condition, Objects, Row, Table, Write
 from tulippin.records import UnitRecord
-from tulippin.state import Seams
+from tulippin.state import Safeguards
 from tulippin.types import Holder, LeaseRow, Ownership, Source, is_cell
 
 _MIN_BACKOFF_S: t.Final = 0.05
@@ -194,7 +194,7 @@
     ring : int
         Number of journal slots; a slot is reused only after a snapshot
         covers its row.
-    seams : Seams
+    seams : Safeguards
         Safeguards that only tests disable.
     """
 
@@ -202,7 +202,7 @@
     objects: Objects
     session_id: str
     ring: int
-    seams: Seams = Seams()
+    seams: Safeguards = Safeguards()
     session_version: int = 0
     slot_versions: dict[int, int] = attrs.field(factory=dict)
     snapshot_version: int = 0
--- a/tests/tulippin/test_promises.py
+++ b/tests/tulippin/test_promises.py
@@ -8,7 +8,7 @@
 from tulippin.history import CHECKERS
 from tulippin.messages import BundleSent
 from tulippin.ports import Envelope
-from tulippin.state import Seams
+from tulippin.state import Safeguards
 from tulippin.testing import Fleet, FleetSize
 from tulippin.types import (
     SERVICE_PRIORITY,
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize(('promise', 'seam', 'scenario'), CASES)
 def test_promise_holds(run_virtual, promise, seam, scenario):
-    history = run_virtual(play, scenario, Seams())
+    history = run_virtual(play, scenario, Safeguards())
     for name, checker in CHECKERS.items():
         found = [violation.render() for violation in checker(history)]
         assert not found, f'{name}, expected to prove {promise}'
@@ -279,7 +279,7 @@
 
 @pytest.mark.parametrize(('promise', 'seam', 'scenario'), CASES)
 def test_checker_sees_the_planted_fault(run_virtual, promise, seam, scenario):
-    history = run_virtual(play, scenario, Seams(**{seam: False}))
+    history = run_virtual(play, scenario, Safeguards(**{seam: False}))
     assert CHECKERS[promise](history)
 
 
--- a/tests/tulippin/test_requests.py
+++ b/tests/tulippin/test_requests.py
@@ -116,7 +116,7 @@
     row = LeaseRow('peer:1', 'peer', 'domain', '127.0.0.1:1', 1)
     peer = PeerState(row, 0, first_seen_ms=instance.now_ms)
     instance.state.peers['peer:1'] = peer
-    sequence = instance.state.heard_sequences.get('peer:1', 0) + 1
+    sequence = instance.state.received_sequences.get('peer:1', 0) + 1
     size = Resources()
     summaries = tuple(
         CellSummary('elsewhere', 7, size, size, size, {name: 2})
