--- a/bench/placement.py
+++ b/bench/placement.py
@@ -31,7 +31,7 @@
         for number in range(8)
     )
     instance = SingleInstance(workers)
-    instance.greet_workers()
+    instance.answer_first_syncs()
     instance.state.bundle = parse_bundle(
         f'[bundle]\nname=x\n[policy p]\nkind={policy}\n'
     )
@@ -47,7 +47,7 @@
             cell.ledger.attempts[task.task_id] = AttemptEntry(
                 task, spec, worker.worker_id, 'one', SPEC.size
             )
-            _worker_state.hold(worker, task.task_id, spec, SPEC.size)
+            _worker_state.reserve(worker, task.task_id, spec, SPEC.size)
     return instance, cell
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -14,7 +14,7 @@
 from tulippin._cells import make_summaries
 from tulippin._context import Context
 from tulippin._http_client import HttpClient
-from tulippin._worker_state import hold
+from tulippin._worker_state import reserve
 from tulippin._workers import _make_sync
 from tulippin.ledger import AttemptEntry, RequestEntry
 from tulippin.messages import Gossip, TaskHeld, TaskOffered, TaskReported
@@ -43,7 +43,7 @@
     for number in range(count):
         entry = make_entry(number)
         cell.ledger.attempts[entry.task.task_id] = entry
-        hold(worker, entry.task.task_id, entry.spec, SIZE)
+        reserve(worker, entry.task.task_id, entry.spec, SIZE)
         worker.started.add(entry.task.task_id)
     return cell, worker
 
@@ -54,7 +54,7 @@
 
 def sync_bytes(count):
     instance = SingleInstance((make_worker(capacity=Resources(10**9, 10**9)),))
-    instance.greet_workers()
+    instance.answer_first_syncs()
     cell, worker = fill(instance, count)
     sync = _make_sync(Context(instance.state), cell, worker)
     return len(codec.encode(sync))
@@ -147,7 +147,7 @@
 
 def snapshot_cost(count):
     instance = SingleInstance((make_worker(capacity=Resources(10**9, 10**9)),))
-    instance.greet_workers()
+    instance.answer_first_syncs()
     cell, _ = fill(instance, count)
     began = time.process_time()
     body = codec.encode_ledgers([('cell/cell-0', 1, cell.ledger)])
--- a/src/tulippin/_bundle_routes.py
+++ b/src/tulippin/_bundle_routes.py
@@ -67,7 +67,7 @@
         return make_json(row, status)
 
     async def _list_bundles(self, _: Request) -> Response:
-        rows = await self.store.iter_all()
+        rows = await self.store.list_bundles()
         return make_json({'bundles': rows})
 
     async def _show_bundle(self, request: Request) -> Response:
--- a/src/tulippin/_cells.py
+++ b/src/tulippin/_cells.py
@@ -8,7 +8,7 @@
 
 from tulippin import _pressure, _worker_state, _workers
 from tulippin._context import Context
-from tulippin._dispatch import receive, settle
+from tulippin._dispatch import handle_committed, receive
 from tulippin._placing import choose_victims, choose_worker
 from tulippin.messages import (
     CellSummary,
@@ -43,7 +43,7 @@
     for task_id, entry in cell.ledger.attempts.items():
         if entry.outcome is None:
             worker = _get_or_add_worker(context, cell, entry.worker_id)
-            _worker_state.hold(worker, task_id, entry.spec, entry.reserved)
+            _worker_state.reserve(worker, task_id, entry.spec, entry.reserved)
         else:
             cell.report_due_ms[task_id] = context.now_ms
 
@@ -105,8 +105,8 @@
     ]
     for worker in usable:
         free = free.add(worker.free)
-        largest_free = largest_free.largest(worker.free)
-        evictable = evictable.largest(worker.info.capacity)
+        largest_free = largest_free.elementwise_max(worker.free)
+        evictable = evictable.elementwise_max(worker.info.capacity)
     for service, endpoints in cell.endpoints.items():
         slots = [
             cell.workers[worker_id].free_slots
@@ -246,7 +246,7 @@
     worker, reserved, policy = choice
     cell.refused.pop(task.task_id, None)
     cell.placing[task.task_id] = task
-    _worker_state.hold(worker, task.task_id, offer.spec, reserved)
+    _worker_state.reserve(worker, task.task_id, offer.spec, reserved)
     context.record(
         cell,
         AttemptPlaced(
@@ -369,7 +369,7 @@
         worker.needs_sync = True
 
 
-@settle.register
+@handle_committed.register
 def _(record: AttemptPlaced, unit: CellState, context: Context) -> None:
     task = record.task
     unit.placing.pop(task.task_id, None)
@@ -382,7 +382,7 @@
     context.send_owner(task.home, TaskHeld(unit.unit, unit.epoch, task))
 
 
-@settle.register
+@handle_committed.register
 def _(record: AttemptEnded, unit: CellState, context: Context) -> None:
     unit.ending_attempts.pop(record.task_id, None)
     entry = unit.ledger.attempts.get(record.task_id)
--- a/src/tulippin/_context.py
+++ b/src/tulippin/_context.py
@@ -98,7 +98,7 @@
         """Return whether a unit is owned, loaded and not being handed over."""
         return unit is not None and unit.phase is Phase.ACTIVE
 
-    def is_heard(self, session_id: str) -> bool:
+    def is_responsive(self, session_id: str) -> bool:
         """Return whether a session is the own one or a responsive peer's.
 
         A peer counts as responsive for ``silence_limit_ms`` after its last
--- a/src/tulippin/_dispatch.py
+++ b/src/tulippin/_dispatch.py
@@ -23,5 +23,5 @@
 
 
 @functools.singledispatch
-def settle(record: Record, unit: UnitState, context: Context) -> None:
+def handle_committed(record: Record, unit: UnitState, context: Context) -> None:
     """Continue after a record was committed; by default, do nothing."""
--- a/src/tulippin/_dropping.py
+++ b/src/tulippin/_dropping.py
@@ -13,7 +13,7 @@
     Records in flight remain counted until their commit is answered.
     """
     state = context.state
-    _requests.leave_unit(context, unit)
+    _requests.end_unit_requests(context, unit)
     if isinstance(unit, CellState):
         state.cells.pop(unit.unit, None)
     else:
--- a/src/tulippin/_homes.py
+++ b/src/tulippin/_homes.py
@@ -14,7 +14,7 @@
 
 from tulippin import _cells, _quotas
 from tulippin._context import Context
-from tulippin._dispatch import receive, settle
+from tulippin._dispatch import handle_committed, receive
 from tulippin.ledger import JobEntry, TaskEntry
 from tulippin.messages import (
     CellSummary,
@@ -180,7 +180,7 @@
 def _iter_summaries(context: Context) -> t.Iterator[CellSummary]:
     yield from _cells.make_summaries(context)
     for session_id, peer in context.state.peers.items():
-        if context.is_heard(session_id):
+        if context.is_responsive(session_id):
             yield from peer.summaries.values()
 
 
@@ -375,7 +375,7 @@
     context.send_owner(offer.cell, message)
 
 
-@settle.register
+@handle_committed.register
 def _(record: TaskAssigned, unit: RangeState, context: Context) -> None:
     ref = TaskRef(record.job_id, record.index, record.attempt, unit.unit)
     unit.assigning.pop(ref.task_id, None)
@@ -435,7 +435,7 @@
     )
 
 
-@settle.register
+@handle_committed.register
 def _(record: TaskReturned, unit: RangeState, context: Context) -> None:
     task_id = f'{record.job_id}/{record.index}'
     unit.returning.pop(task_id, None)
--- a/src/tulippin/_jobs.py
+++ b/src/tulippin/_jobs.py
@@ -4,7 +4,7 @@
 
 from tulippin import _homes, _quotas
 from tulippin._context import Context, get_range
-from tulippin._dispatch import receive, settle
+from tulippin._dispatch import handle_committed, receive
 from tulippin.ledger import JobEntry
 from tulippin.messages import (
     JobForwarded,
@@ -71,7 +71,7 @@
     )
 
 
-@settle.register
+@handle_committed.register
 def _(record: JobAccepted, unit: RangeState, context: Context) -> None:
     job = unit.ledger.jobs[record.spec.job_id]
     _homes.enqueue_job(unit, job)
@@ -104,7 +104,7 @@
         context.record(home, JobCancelled(message.job_id))
 
 
-@settle.register
+@handle_committed.register
 def _(record: JobCancelled, unit: RangeState, context: Context) -> None:
     unit.fresh_indexes.pop(record.job_id, None)
     prefix = f'{record.job_id}/'
--- a/src/tulippin/_journal.py
+++ b/src/tulippin/_journal.py
@@ -12,7 +12,7 @@
 from tulippin import codec
 from tulippin import effects as fx
 from tulippin._context import Context, count_instances
-from tulippin._dispatch import handle, settle
+from tulippin._dispatch import handle, handle_committed
 from tulippin.events import (
     JournalCommitted,
     SnapshotFailed,
@@ -114,7 +114,7 @@
         if unit is None or unit.epoch != entry.epoch:
             continue
         apply(entry.record, unit.ledger)
-        settle(entry.record, unit, context)
+        handle_committed(entry.record, unit, context)
 
 
 @handle.register
--- a/src/tulippin/_membership.py
+++ b/src/tulippin/_membership.py
@@ -259,11 +259,11 @@
     state = context.state
     state.peers.pop(session_id, None)
     state.received_sequences.pop(session_id, None)
-    state.model.drop_shared(session_id)
+    state.model.remove_shared(session_id)
     state.ended_sessions[session_id] = context.now_ms
     if len(state.ended_sessions) > _MAX_ENDED_SESSIONS:
         state.ended_sessions.pop(next(iter(state.ended_sessions)))
-    _requests.lose_peer(context, session_id)
+    _requests.end_session_requests(context, session_id)
 
 
 def _mark_restarted_predecessors(context: Context) -> None:
@@ -316,7 +316,7 @@
 @handle.register
 def _(event: PeerFailed, context: Context) -> None:
     for message in event.messages:
-        _requests.fail_message(message, event.session_id, context)
+        _requests.handle_undelivered(message, event.session_id, context)
 
 
 @handle.register
--- a/src/tulippin/_placing.py
+++ b/src/tulippin/_placing.py
@@ -60,7 +60,7 @@
 def get_reservation(context: Context, spec: JobSpec) -> Resources:
     """Return the larger of a job's declared and learned sizes."""
     learned = context.state.sizes.get_size(spec.job_class)
-    return spec.size.largest(learned)
+    return spec.size.elementwise_max(learned)
 
 
 def _is_feasible(
--- a/src/tulippin/_pressure.py
+++ b/src/tulippin/_pressure.py
@@ -116,7 +116,7 @@
 @receive.register
 def _(message: ModelShared, sender: str, context: Context) -> None:
     state = context.state
-    invalid_count = state.model.take_shared(sender, message.entries)
+    invalid_count = state.model.store_shared(sender, message.entries)
     if invalid_count:
         state.counters['weights_refused'] += invalid_count
 
--- a/src/tulippin/_requests.py
+++ b/src/tulippin/_requests.py
@@ -17,7 +17,7 @@
 from tulippin import _proofs, _serving, _worker_state
 from tulippin import effects as fx
 from tulippin._context import Context, get_range
-from tulippin._dispatch import handle, receive, settle
+from tulippin._dispatch import handle, handle_committed, receive
 from tulippin._observing import observe_request
 from tulippin.events import EndpointReplied, RequestArrived
 from tulippin.ledger import RequestEntry
@@ -149,7 +149,7 @@
     if holder is None or not reachable or not state.session.session_id:
         _handle_try_outcome(context, ticket, _proofs.make_not_run('no_owner'))
         return
-    if not context.is_heard(holder.session_id):
+    if not context.is_responsive(holder.session_id):
         _handle_try_outcome(
             context, ticket, _proofs.make_not_run('owner_unreachable')
         )
@@ -278,7 +278,7 @@
     return RequestOutcome(entry.outcome, 'replayed', entry.status, entry.body)
 
 
-@settle.register
+@handle_committed.register
 def _(record: RequestOpened, unit: RangeState, context: Context) -> None:
     number = unit.request_tickets.get(record.request_id, 0)
     ticket = context.state.tickets.get(number)
@@ -314,7 +314,7 @@
     context.record(home, RequestClosed(request_id, kind, outcome.status, body))
 
 
-@settle.register
+@handle_committed.register
 def _(record: RequestClosed, unit: RangeState, context: Context) -> None:
     closing = unit.closing.get(record.request_id)
     if closing is not None and closing.outcome is record.outcome:
@@ -485,7 +485,9 @@
     _finish(context, parent, _proofs.downgrade(context, parent, outcome))
 
 
-def fail_message(message: object, session_id: str, context: Context) -> None:
+def handle_undelivered(
+    message: object, session_id: str, context: Context
+) -> None:
     """End the try of a message that may not have reached its peer."""
     if not isinstance(message, RequestForwarded):
         return
@@ -494,7 +496,7 @@
         _finish(context, ticket, _proofs.make_unknown('peer_lost'))
 
 
-def lose_peer(context: Context, session_id: str) -> None:
+def end_session_requests(context: Context, session_id: str) -> None:
     """End the tries that were forwarded to a session that has ended."""
     for ticket in list(context.state.tickets.values()):
         forwarded = ticket.stage is Stage.FORWARDED
@@ -502,7 +504,7 @@
             _finish(context, ticket, _proofs.make_unknown('peer_lost'))
 
 
-def leave_unit(context: Context, unit: UnitState) -> None:
+def end_unit_requests(context: Context, unit: UnitState) -> None:
     """End the requests that wait for a unit which this instance releases.
 
     Requests that were sent to an endpoint stay, because their answers are
--- a/src/tulippin/_serving.py
+++ b/src/tulippin/_serving.py
@@ -58,7 +58,7 @@
     Queued requests are subtracted, so that a count may be negative.
     """
     for session_id, peer in context.state.peers.items():
-        if not context.is_heard(session_id):
+        if not context.is_responsive(session_id):
             continue
         for summary in peer.summaries.values():
             holder = context.get_holder(summary.unit)
--- a/src/tulippin/_single.py
+++ b/src/tulippin/_single.py
@@ -162,7 +162,7 @@
                 ),
             )
 
-    def greet_workers(self) -> None:
+    def answer_first_syncs(self) -> None:
         """Let every worker reply to its first syncs."""
         self.tick()
         for worker in self.workers:
--- a/src/tulippin/_worker_state.py
+++ b/src/tulippin/_worker_state.py
@@ -31,7 +31,7 @@
     return lease_ms + lease_ms // _CLOCK_DRIFT_DIVISOR + config.lease_margin_ms
 
 
-def hold(
+def reserve(
     worker: WorkerState, task_id: str, spec: JobSpec, reserved: Resources
 ) -> None:
     """Reserve capacity for an attempt and count it by its job class."""
--- a/src/tulippin/bundle_store.py
+++ b/src/tulippin/bundle_store.py
@@ -72,7 +72,7 @@
             )
         return codec.decode(row.value, BundleRow), row.version
 
-    async def iter_all(self) -> list[BundleRow]:
+    async def list_bundles(self) -> list[BundleRow]:
         """Return all bundles in the order of their numbers.
 
         Unreadable rows are logged and left out.
--- a/src/tulippin/policies.py
+++ b/src/tulippin/policies.py
@@ -143,7 +143,7 @@
         total = learned * count + shared_sum + self.prior * self.prior_count
         return total / (count + shared_count + self.prior_count)
 
-    def take_shared(
+    def store_shared(
         self, session_id: str, entries: t.Iterable[tuple[str, float, float]]
     ) -> int:
         """Store the weights that another instance shares.
@@ -170,7 +170,7 @@
             source_weights[key] = (weight, count)
         return rejected_count
 
-    def drop_shared(self, session_id: str) -> None:
+    def remove_shared(self, session_id: str) -> None:
         """Remove the weights shared by an instance that has ended."""
         source_weights = self.shared.pop(session_id, {})
         for key, (weight, count) in source_weights.items():
--- a/src/tulippin/store.py
+++ b/src/tulippin/store.py
@@ -191,7 +191,7 @@
         The platform's services.
     session_id : str
         Id of the session.
-    ring : int
+    slot_count : int
         Number of journal slots; a slot is reused only after a snapshot
         covers its row.
     seams : Safeguards
@@ -201,7 +201,7 @@
     table: Table
     objects: Objects
     session_id: str
-    ring: int
+    slot_count: int
     seams: Safeguards = Safeguards()
     session_version: int = 0
     slot_versions: dict[int, int] = attrs.field(factory=dict)
@@ -258,7 +258,7 @@
         FencedError
             If the session was revoked; the row was not written.
         """
-        slot = sequence % self.ring
+        slot = sequence % self.slot_count
         key = slot_key(self.session_id, slot)
         value = f'{sequence}\n{codec.encode_records(records)}'
         conditions = [Condition(key, self.slot_versions.get(slot, 0))]
--- a/src/tulippin/types.py
+++ b/src/tulippin/types.py
@@ -96,7 +96,7 @@
             and other.accelerator_count <= self.accelerator_count
         )
 
-    def largest(self, other: Resources) -> Resources:
+    def elementwise_max(self, other: Resources) -> Resources:
         """Return the maximum of the two amounts for each resource."""
         return Resources(
             max(self.cpu_millicores, other.cpu_millicores),
--- a/tests/tulippin/test_bundles.py
+++ b/tests/tulippin/test_bundles.py
@@ -93,7 +93,7 @@
             await approve(store, number)
             await roll(store, number)
             await store.mark_in_force(number)
-        states = [row.state for row in await store.iter_all()]
+        states = [row.state for row in await store.list_bundles()]
         assert states == [BundleState.SUPERSEDED, BundleState.IN_FORCE]
         await store.retire(1, sign_as('bob', 'retire', 1))
         with pytest.raises(ConflictError):
--- a/tests/tulippin/test_foreign_answers.py
+++ b/tests/tulippin/test_foreign_answers.py
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize('name', sorted(INVALID_USAGE))
 def test_report_with_invalid_usage_is_handled(name):
     instance = SingleInstance()
-    instance.greet_workers()
+    instance.answer_first_syncs()
     spec = JobSpec('job', 'team', task_count=2, run_ms=5000)
     instance.feed(ev.JobRequested, 1, 'submit', 'job', 'team', spec, 'digest')
     instance.commit_all()
@@ -178,19 +178,19 @@
 def test_shared_weights_stay_in_bounds(lists):
     model = InterferenceModel()
     for number, entries in enumerate(lists):
-        model.take_shared(f's{number % 2}', entries)
+        model.store_shared(f's{number % 2}', entries)
         for key in ('a|b', 'a|c', 'a|d'):
             weight = model.get_weight(*key.split('|'))
             assert 0 <= weight <= 1e6
-    model.drop_shared('s0')
+    model.remove_shared('s0')
     assert 0 <= model.get_weight('a', 'b') <= 1e6
 
 
 def test_negative_shared_sample_count_is_handled():
     instance = SingleInstance()
-    instance.greet_workers()
+    instance.answer_first_syncs()
     message = ModelShared((('service|job', 0.1, -4.0),))
-    instance.state.model.take_shared(PEER, message.entries)
+    instance.state.model.store_shared(PEER, message.entries)
     assert instance.state.model.get_weight('service', 'job') == 0.05
 
 
--- a/tests/tulippin/test_foreign_bundles.py
+++ b/tests/tulippin/test_foreign_bundles.py
@@ -108,6 +108,6 @@
         store.write(
             'tulippin', 'product', 'bundle/00000009', INVALID_ROWS[name]
         )
-        assert [row.number for row in await bundles.iter_all()] == [1]
+        assert [row.number for row in await bundles.list_bundles()] == [1]
 
     run_virtual(run)
--- a/tests/tulippin/test_requests.py
+++ b/tests/tulippin/test_requests.py
@@ -39,7 +39,7 @@
 @pytest.fixture
 def instance():
     single = SingleInstance()
-    single.greet_workers()
+    single.answer_first_syncs()
     single.feed(ev.JobRequested, 1, 'submit', 'service', 'team', SERVICE, 'd')
     single.commit_all()
     single.tick(200)
--- a/tests/tulippin/test_store.py
+++ b/tests/tulippin/test_store.py
@@ -89,8 +89,8 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def open_store(table, objects, session_id, ring=8):
-    store = SessionStore(table, objects, session_id, ring)
+async def open_store(table, objects, session_id, slot_count=8):
+    store = SessionStore(table, objects, session_id, slot_count)
     await store.open(make_lease(session_id))
     return store
 
@@ -134,7 +134,7 @@
 def test_successor_reads_snapshot_and_journal(run_virtual):
     async def run():
         table, objects = FakeTable(), FakeObjects()
-        old = await open_store(table, objects, 'old', ring=4)
+        old = await open_store(table, objects, 'old', slot_count=4)
         ledger = RangeLedger()
         for sequence in range(1, 8):
             record = make_record(f'job-{sequence}')
@@ -147,7 +147,7 @@
 
                 body = encode_ledgers([(UNIT, 1, ledger)])
                 await old.publish(sequence, body, [(UNIT, 1)])
-        new = await open_store(table, objects, 'new', ring=4)
+        new = await open_store(table, objects, 'new', slot_count=4)
         holder = Holder('new', 2, '', (Source('old', 1),))
         loaded = await new.load_unit(UNIT, holder)
         assert set(loaded.jobs) == {f'job-{number}' for number in range(1, 8)}
--- a/tests/tulippin/test_workers.py
+++ b/tests/tulippin/test_workers.py
@@ -27,7 +27,7 @@
 @pytest.fixture
 def instance():
     single = SingleInstance()
-    single.greet_workers()
+    single.answer_first_syncs()
     return single
 
 
@@ -122,7 +122,7 @@
 
 def test_successor_waits_out_a_predecessor_that_may_be_detached():
     instance = SingleInstance()
-    instance.greet_workers()
+    instance.answer_first_syncs()
     holder = Holder(SESSION, 2, '', (Source('instance-9:old', 1),))
     instance.adopt({CELL: holder})
     from tulippin.ledger import CellLedger, apply
@@ -198,7 +198,7 @@
 
 def test_offer_of_an_older_epoch_is_refused(instance):
     instance.own(CELL, 'range/00', epoch=2)
-    instance.greet_workers()
+    instance.answer_first_syncs()
     task = TaskRef('job', 0, 1, 'range/00')
     offer = TaskOffered(CELL, 1, task, SPEC, 2)
     instance.feed(ev.PeerReceived, PEER, 'instance-1', 1, (offer,))
