--- a/bench/placement.py
+++ b/bench/placement.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from tulippin import _homes, _placing, _worker_state
+from tulippin import _home_units, _placing, _worker_state
 from tulippin._context import Context
 from tulippin.bundles import parse_bundle
 from tulippin.ledger import AttemptEntry
@@ -71,11 +71,11 @@
     for number in range(138):
         free = Resources(source.randrange(10000), 10000)
         summary = CellSummary(f'cell/{number}', 1, free, free, free)
-        views[summary.unit] = _homes.CellView(summary, free, free)
+        views[summary.unit] = _home_units.CellView(summary, free, free)
     times = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        assert _homes.pick_cell(context, SPEC, views)
+        assert _home_units.pick_cell(context, SPEC, views)
         times.append((time.perf_counter() - began) * 1e6)
     return statistics.median(times)
 
--- a/src/tulippin/_cells.py
+++ b/src/tulippin/_cells.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from tulippin import _pressure, _worker_state, _workers
+from tulippin import _interference_control, _worker_state, _workers
 from tulippin._context import Context
 from tulippin._dispatch import handle_committed, receive
 from tulippin._placing import choose_victims, choose_worker
@@ -116,7 +116,7 @@
         if slots:
             queued = len(cell.queues.get(service, ()))
             services[service] = sum(slots) - queued
-    harm = _pressure.summarize_harm(context, usable)
+    harm = _interference_control.summarize_harm(context, usable)
     return CellSummary(
         cell.unit, cell.epoch, free, largest_free, evictable, services, harm
     )
@@ -136,7 +136,7 @@
         if context.may_act and cell.phase is Phase.ACTIVE:
             _resend_reports(context, cell)
             _process_waiting(context, cell)
-            _pressure.tick_cell(context, cell)
+            _interference_control.tick_cell(context, cell)
 
 
 def _resend_reports(context: Context, cell: CellState) -> None:
@@ -401,6 +401,8 @@
         context.now_ms + context.state.config.resend_every_ms
     )
     context.state.counters[f'attempts_{record.outcome.value}'] += 1
-    _pressure.count_ended_attempt(context, unit, entry, record.outcome)
+    _interference_control.count_ended_attempt(
+        context, unit, entry, record.outcome
+    )
     _report_outcome(context, unit, entry.task, entry.outcome, entry.checkpoint)
     _place_waiting(context, unit)
--- a/src/tulippin/_jobs.py
+++ b/src/tulippin/_jobs.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tulippin import _homes, _quotas
+from tulippin import _home_units, _quotas
 from tulippin._context import Context, get_range
 from tulippin._dispatch import handle_committed, receive
 from tulippin.ledger import JobEntry
@@ -74,7 +74,7 @@
 @handle_committed.register
 def _(record: JobAccepted, unit: RangeState, context: Context) -> None:
     job = unit.ledger.jobs[record.spec.job_id]
-    _homes.enqueue_job(unit, job)
+    _home_units.enqueue_job(unit, job)
     context.state.counters['jobs_accepted'] += 1
     _answer_waiters(context, unit, record.spec.job_id)
 
@@ -113,7 +113,7 @@
         for task_id, offer in unit.offers.items()
         if task_id.startswith(prefix)
     ]
-    _homes.send_cancel(context, unit, offers)
+    _home_units.send_cancel(context, unit, offers)
     _answer_waiters(context, unit, record.job_id)
 
 
--- a/src/tulippin/_membership.py
+++ b/src/tulippin/_membership.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from tulippin import _bundling, _pressure, _requests, _units
+from tulippin import _bundle_updates, _interference_control, _requests, _units
 from tulippin import effects as fx
 from tulippin._cells import make_summaries
 from tulippin._context import Context
@@ -119,7 +119,7 @@
         context.send(session_id, message)
     if context.now_ms >= session.next_model_share_ms:
         session.next_model_share_ms = context.now_ms + _MODEL_SHARE_INTERVAL_MS
-        _pressure.share_model(context)
+        _interference_control.share_model(context)
 
 
 def _record_services(message: Gossip, context: Context) -> None:
@@ -227,7 +227,7 @@
     _update_peers(context, event.leases)
     _units.adopt_ownership(context, event.ownership, event.ownership_version)
     _units.plan_takeover(context)
-    _bundling.update_rolled_bundle(
+    _bundle_updates.update_rolled_bundle(
         context, event.bundle_number, event.bundle_state, event.bundle_approved
     )
 
--- a/src/tulippin/_proofs.py
+++ b/src/tulippin/_request_outcomes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tulippin import _serving
+from tulippin import _endpoint_choice
 from tulippin._context import Context
 from tulippin.events import EndpointReplied
 from tulippin.messages import RequestOutcome
@@ -109,7 +109,9 @@
     parent.overloaded_cells.add(parent.last_try_unit)
     return any(
         unit not in parent.overloaded_cells
-        for unit, _ in _serving.iter_serving(context, parent.request.service)
+        for unit, _ in _endpoint_choice.iter_serving(
+            context, parent.request.service
+        )
     )
 
 
--- a/src/tulippin/_observing.py
+++ b/src/tulippin/_request_stats.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tulippin import _pressure
+from tulippin import _interference_control
 from tulippin import effects as fx
 from tulippin._context import Context
 from tulippin.bundles import Bundle
@@ -33,7 +33,7 @@
     queued_ms = ticket.sent_ms - ticket.started_ms
     latency_ms = queued_ms + event.elapsed_ms
     service = ticket.request.service
-    _pressure.update_pressure(context, worker, service, latency_ms)
+    _interference_control.update_pressure(context, worker, service, latency_ms)
     context.emit(
         fx.ObserveLatency(
             service,
--- a/src/tulippin/_requests.py
+++ b/src/tulippin/_requests.py
@@ -14,11 +14,11 @@
 import collections
 import functools
 
-from tulippin import _proofs, _serving, _worker_state
+from tulippin import _endpoint_choice, _request_outcomes, _worker_state
 from tulippin import effects as fx
 from tulippin._context import Context, get_range
 from tulippin._dispatch import handle, handle_committed, receive
-from tulippin._observing import observe_request
+from tulippin._request_stats import observe_request
 from tulippin.events import EndpointReplied, RequestArrived
 from tulippin.ledger import RequestEntry
 from tulippin.messages import (
@@ -82,7 +82,9 @@
         or state.session.standing is Standing.LEFT
     ):
         context.emit(
-            fx.AnswerRequest(event.call_id, _proofs.make_not_run('stopping'))
+            fx.AnswerRequest(
+                event.call_id, _request_outcomes.make_not_run('stopping')
+            )
         )
         return
     state.retry_tokens = min(
@@ -103,8 +105,12 @@
     ticket.try_count += 1
     ticket.stage = Stage.TRYING
     if context.now_ms >= ticket.deadline_ms:
-        outcome = _proofs.make_not_run('deadline')
-        _finish(context, ticket, _proofs.downgrade(context, ticket, outcome))
+        outcome = _request_outcomes.make_not_run('deadline')
+        _finish(
+            context,
+            ticket,
+            _request_outcomes.downgrade(context, ticket, outcome),
+        )
     elif ticket.request.repeatable or ticket.durable:
         _route_to_cell(context, ticket)
     else:
@@ -122,16 +128,18 @@
 
 
 def _route_to_cell(context: Context, ticket: Ticket) -> None:
-    unit = _serving.pick_cell(context, ticket)
+    unit = _endpoint_choice.pick_cell(context, ticket)
     if not unit:
         # A cell that changes owners serves again soon. "moved" is retried,
         # while "no_endpoint" would be final: it refused a request in 5 of
         # 30 starts of two instances under load.
-        was_served = _serving.was_recently_served(
+        was_served = _endpoint_choice.was_recently_served(
             context, ticket.request.service
         )
         code = 'moved' if was_served else 'no_endpoint'
-        _handle_try_outcome(context, ticket, _proofs.make_not_run(code))
+        _handle_try_outcome(
+            context, ticket, _request_outcomes.make_not_run(code)
+        )
         return
     ticket.last_try_unit = unit
     cell = context.state.cells.get(unit)
@@ -147,11 +155,13 @@
     state = context.state
     reachable = holder is not None and holder.session_id in state.peers
     if holder is None or not reachable or not state.session.session_id:
-        _handle_try_outcome(context, ticket, _proofs.make_not_run('no_owner'))
+        _handle_try_outcome(
+            context, ticket, _request_outcomes.make_not_run('no_owner')
+        )
         return
     if not context.is_responsive(holder.session_id):
         _handle_try_outcome(
-            context, ticket, _proofs.make_not_run('owner_unreachable')
+            context, ticket, _request_outcomes.make_not_run('owner_unreachable')
         )
         return
     try_ticket = _open_try(context, ticket)
@@ -194,7 +204,7 @@
     elif isinstance(unit, RangeState):
         _open_durably(context, ticket, unit)
     else:
-        _finish(context, ticket, _proofs.make_not_run('moved'))
+        _finish(context, ticket, _request_outcomes.make_not_run('moved'))
 
 
 # --- at most once -----------------------------------------------------------
@@ -211,18 +221,26 @@
     if not context.state.config.seams.deduplication:
         recorded = None
     if home.phase is Phase.LOADING:
-        _handle_try_outcome(context, ticket, _proofs.make_not_run('moved'))
+        _handle_try_outcome(
+            context, ticket, _request_outcomes.make_not_run('moved')
+        )
     elif recorded is not None:
         _finish(context, ticket, _replay(recorded, ticket.request))
     elif request_id in home.request_tickets:
         _join_open_request(context, ticket, home)
     elif home.phase is not Phase.ACTIVE:
-        _handle_try_outcome(context, ticket, _proofs.make_not_run('moved'))
+        _handle_try_outcome(
+            context, ticket, _request_outcomes.make_not_run('moved')
+        )
     elif not context.store_ready:
-        outcome = _proofs.make_not_run(
+        outcome = _request_outcomes.make_not_run(
             'store_unavailable', _STORE_RETRY_AFTER_MS
         )
-        _finish(context, ticket, _proofs.downgrade(context, ticket, outcome))
+        _finish(
+            context,
+            ticket,
+            _request_outcomes.downgrade(context, ticket, outcome),
+        )
     else:
         ticket.stage = Stage.OPENING
         ticket.unit = home.unit
@@ -261,9 +279,9 @@
         home.request_tickets[ticket.request.request_id]
     )
     if first is None:
-        _finish(context, ticket, _proofs.make_unknown('lost'))
+        _finish(context, ticket, _request_outcomes.make_unknown('lost'))
     elif first.request.digest != ticket.request.digest:
-        _finish(context, ticket, _proofs.make_not_run('id_reused', 0))
+        _finish(context, ticket, _request_outcomes.make_not_run('id_reused', 0))
     else:
         ticket.stage = Stage.JOINED
         first.waiters.append(TicketOrigin(ticket.ticket))
@@ -272,9 +290,9 @@
 def _replay(entry: RequestEntry, request: ServiceRequest) -> RequestOutcome:
     """Return the recorded outcome again, or unknown if there is none."""
     if entry.digest != request.digest:
-        return _proofs.make_not_run('id_reused', 0)
+        return _request_outcomes.make_not_run('id_reused', 0)
     if entry.outcome is None:
-        return _proofs.make_unknown('outcome_not_known')
+        return _request_outcomes.make_unknown('outcome_not_known')
     return RequestOutcome(entry.outcome, 'replayed', entry.status, entry.body)
 
 
@@ -329,14 +347,14 @@
     service = ticket.request.service
     ticket.unit = cell.unit
     if cell.phase is not Phase.ACTIVE or not context.may_serve:
-        _finish(context, ticket, _proofs.make_not_run('moved'))
+        _finish(context, ticket, _request_outcomes.make_not_run('moved'))
         return
     if service not in cell.endpoints:
-        _finish(context, ticket, _proofs.make_not_run('no_endpoint'))
+        _finish(context, ticket, _request_outcomes.make_not_run('no_endpoint'))
         return
     queue = cell.queues.setdefault(service, collections.deque())
     if len(queue) >= context.state.config.request_queue_limit:
-        _finish(context, ticket, _proofs.make_not_run('overloaded'))
+        _finish(context, ticket, _request_outcomes.make_not_run('overloaded'))
         return
     ticket.stage = Stage.QUEUED
     queue.append(ticket.ticket)
@@ -366,9 +384,9 @@
             continue
         if context.now_ms >= ticket.deadline_ms:
             queue.popleft()
-            _finish(context, ticket, _proofs.make_not_run('deadline'))
+            _finish(context, ticket, _request_outcomes.make_not_run('deadline'))
             continue
-        worker = _serving.choose_endpoint(context, cell, service)
+        worker = _endpoint_choice.choose_endpoint(context, cell, service)
         if worker is None:
             return
         queue.popleft()
@@ -400,7 +418,7 @@
     ticket = context.state.tickets.get(event.dispatch_id)
     if ticket is None or ticket.stage is not Stage.SENT:
         return
-    outcome = _proofs.check_answer(context, ticket, event)
+    outcome = _request_outcomes.check_answer(context, ticket, event)
     found = _worker_state.find_worker(context, ticket.worker_id)
     if found is not None:
         cell, worker = found
@@ -479,10 +497,12 @@
         return
     if outcome.kind is OutcomeKind.UNKNOWN:
         parent.last_outcome = outcome
-    if _proofs.may_retry(context, parent, outcome):
-        parent.retry_at_ms = context.now_ms + _proofs.RETRY_PAUSE_MS
+    if _request_outcomes.may_retry(context, parent, outcome):
+        parent.retry_at_ms = context.now_ms + _request_outcomes.RETRY_PAUSE_MS
         return
-    _finish(context, parent, _proofs.downgrade(context, parent, outcome))
+    _finish(
+        context, parent, _request_outcomes.downgrade(context, parent, outcome)
+    )
 
 
 def handle_undelivered(
@@ -493,7 +513,7 @@
         return
     ticket = context.state.tickets.get(message.call_id)
     if ticket is not None and ticket.stage is Stage.FORWARDED:
-        _finish(context, ticket, _proofs.make_unknown('peer_lost'))
+        _finish(context, ticket, _request_outcomes.make_unknown('peer_lost'))
 
 
 def end_session_requests(context: Context, session_id: str) -> None:
@@ -501,7 +521,9 @@
     for ticket in list(context.state.tickets.values()):
         forwarded = ticket.stage is Stage.FORWARDED
         if forwarded and ticket.target_session == session_id:
-            _finish(context, ticket, _proofs.make_unknown('peer_lost'))
+            _finish(
+                context, ticket, _request_outcomes.make_unknown('peer_lost')
+            )
 
 
 def end_unit_requests(context: Context, unit: UnitState) -> None:
@@ -514,10 +536,12 @@
         if ticket.unit != unit.unit:
             continue
         if ticket.stage is Stage.QUEUED:
-            _finish(context, ticket, _proofs.make_not_run('moved'))
+            _finish(context, ticket, _request_outcomes.make_not_run('moved'))
         elif ticket.stage is Stage.OPENING and not is_cell(unit.unit):
             ticket.unit = ''
-            _finish(context, ticket, _proofs.make_not_run('session_lost'))
+            _finish(
+                context, ticket, _request_outcomes.make_not_run('session_lost')
+            )
 
 
 def tick(context: Context) -> None:
@@ -538,10 +562,10 @@
 
 def _expire(context: Context, ticket: Ticket) -> None:
     if ticket.stage is Stage.QUEUED:
-        _finish(context, ticket, _proofs.make_not_run('deadline'))
+        _finish(context, ticket, _request_outcomes.make_not_run('deadline'))
     elif ticket.stage is Stage.FORWARDED or ticket.stage is Stage.JOINED:
-        _finish(context, ticket, _proofs.make_unknown('deadline'))
+        _finish(context, ticket, _request_outcomes.make_unknown('deadline'))
     elif ticket.stage is Stage.OPENING:
         # A request is sent only after its opening is durable, so this one
         # did not run.
-        _finish(context, ticket, _proofs.make_not_run('deadline'))
+        _finish(context, ticket, _request_outcomes.make_not_run('deadline'))
--- a/src/tulippin/_units.py
+++ b/src/tulippin/_units.py
@@ -11,12 +11,12 @@
 
 import attrs
 
-from tulippin import _cells, _homes, codec
+from tulippin import _cells, _home_units, codec
 from tulippin import effects as fx
 from tulippin._context import Context
 from tulippin._dispatch import handle
-from tulippin._dropping import drop_unit
-from tulippin._spreading import choose_surplus, count_units, pick_owner
+from tulippin._owner_choice import choose_surplus, count_units, pick_owner
+from tulippin._unit_release import drop_unit
 from tulippin.events import OwnershipRefused, UnitLoaded
 from tulippin.ledger import CellLedger, RangeLedger
 from tulippin.state import (
@@ -285,7 +285,7 @@
         _cells.activate(context, unit)
     if isinstance(unit, RangeState) and isinstance(event.ledger, RangeLedger):
         unit.ledger = event.ledger
-        _homes.activate(context, unit)
+        _home_units.activate(context, unit)
 
 
 def update_workers(context: Context) -> None:
--- a/src/tulippin/_workers.py
+++ b/src/tulippin/_workers.py
@@ -8,11 +8,11 @@
 
 import typing as t
 
-from tulippin import _pressure, _requests, _worker_state
+from tulippin import _interference_control, _requests, _worker_state
 from tulippin import effects as fx
 from tulippin._context import Context
 from tulippin._dispatch import handle
-from tulippin._dropping import drop_unit
+from tulippin._unit_release import drop_unit
 from tulippin.events import WorkerFailed, WorkerSynced
 from tulippin.ledger import AttemptEntry
 from tulippin.records import AttemptEnded
@@ -281,7 +281,7 @@
         _reconcile_run(context, cell, worker, run)
     for task_id in sorted(worker.attempts - reported):
         _reconcile_missing(context, cell, worker, task_id)
-    _pressure.learn_from_report(context, cell, worker, report)
+    _interference_control.learn_from_report(context, cell, worker, report)
 
 
 def _reconcile_run(
--- a/src/tulippin/core.py
+++ b/src/tulippin/core.py
@@ -7,12 +7,12 @@
 from __future__ import annotations
 
 from tulippin import (
-    _bundling,
-    _calls,
+    _bundle_updates,
     _cells,
-    _homes,
+    _home_units,
     _journal,
     _membership,
+    _pending_calls,
     _requests,
     _units,
 )
@@ -26,12 +26,12 @@
 
 _TICKERS = (
     _membership.tick,
-    _bundling.tick,
+    _bundle_updates.tick,
     _units.tick,
-    _homes.tick,
+    _home_units.tick,
     _cells.tick,
     _requests.tick,
-    _calls.tick,
+    _pending_calls.tick,
 )
 
 
--- a/src/tulippin/http_callers.py
+++ b/src/tulippin/http_callers.py
@@ -17,7 +17,7 @@
     make_json,
     read_json,
 )
-from tulippin._proofs import make_not_run
+from tulippin._request_outcomes import make_not_run
 from tulippin.api_types import ServiceAnswer, ServiceCall
 from tulippin.bundles import compute_digest
 from tulippin.codec import decode, encode
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -21,7 +21,7 @@
 from tulippin.jobs.state import Job, SchedulerConfig
 from tulippin.jobs.types import Configuration, JobRequest, WorkerEntry
 from tulippin.jobs.unit_shell import UnitShell
-from tulippin.latencies import LatencyTable
+from tulippin.latency_histograms import LatencyTable
 from tulippin.logs import logger
 from tulippin.supervision import keep_running
 
--- a/src/tulippin/latency_metrics.py
+++ b/src/tulippin/latency_metrics.py
@@ -10,7 +10,7 @@
     SummaryMetricFamily,
 )
 
-from tulippin.latencies import LatencyTable
+from tulippin.latency_histograms import LatencyTable
 
 _PERCENTILES: t.Final = (50.0, 90.0, 99.0, 99.9)
 _US_PER_SECOND: t.Final = 1_000_000
--- a/src/tulippin/metrics.py
+++ b/src/tulippin/metrics.py
@@ -13,7 +13,7 @@
 from prometheus_client.registry import Collector
 
 from tulippin.effects import Effect, ObserveLatency
-from tulippin.latencies import LatencyTable
+from tulippin.latency_histograms import LatencyTable
 from tulippin.latency_metrics import iter_latency_metrics
 from tulippin.shell import Shell
 
--- a/src/tulippin/stats.py
+++ b/src/tulippin/stats.py
@@ -14,7 +14,7 @@
 
 from tulippin import codec_json
 from tulippin.bundles import Bundle
-from tulippin.latencies import make_histogram
+from tulippin.latency_histograms import make_histogram
 
 _MAX_WINDOWS: t.Final = 5000
 _MIN_PAIRS: t.Final = 6
