--- a/src/tulippin/__init__.py
+++ b/src/tulippin/__init__.py
@@ -1,8 +1,8 @@
 """A scheduler for colocated latency-critical and batch work.
 
-The library's parts: ``make_state`` and ``reduce`` decide, a ``Shell``
-carries out effects, ``Daemon`` is one instance with its listeners, and
-``tulippin.testing`` brings stand-ins and whole fleets in virtual time.
+``make_state`` and ``reduce`` make the decisions, a ``Shell`` carries out
+their effects and ``Daemon`` runs one instance with its listeners.
+``tulippin.testing`` has test doubles and simulates fleets in virtual time.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 __version__ = '0.3.0'
 
-# A name's module is imported at its first use: a daemon that needs few
-# of them starts sooner and stays smaller.
+# Modules are imported at the first use of a name, which saves start time and
+# memory in daemons that need few of them.
 _MODULES: t.Final = {
     'BestFitPolicy': 'tulippin.policies',
     'Bundle': 'tulippin.bundles',
--- a/src/tulippin/_bundle_routes.py
+++ b/src/tulippin/_bundle_routes.py
@@ -1,4 +1,4 @@
-"""Operators' steps on bundles over HTTP, for every kind of instance."""
+"""Operators' HTTP routes for bundles, shared by both daemons."""
 
 from __future__ import annotations
 
@@ -21,18 +21,22 @@
 
 @attrs.frozen
 class BundleRoutes:
-    """Answers operators by way of the numbered log of bundles."""
+    """HTTP handlers on the store of bundles."""
 
     store: BundleStore
 
     def make_routes(self) -> list[Route]:
-        """Return the routes of all steps and views."""
-        number = '/v1/bundles/{number:int}'
+        """Return the routes that change and show bundles."""
+        bundle_path = '/v1/bundles/{number:int}'
         return [
             Route('/v1/bundles', self._propose, methods=['POST']),
             Route('/v1/bundles', self._list_bundles, methods=['GET']),
-            Route(number, self._show_bundle, methods=['GET']),
-            Route(f'{number}/{{action}}', self._step_bundle, methods=['POST']),
+            Route(bundle_path, self._show_bundle, methods=['GET']),
+            Route(
+                f'{bundle_path}/{{action}}',
+                self._change_bundle,
+                methods=['POST'],
+            ),
         ]
 
     async def _propose(self, request: Request) -> Response:
@@ -41,20 +45,20 @@
         row = await self.store.propose(body.text, signature)
         return self._reply(row, 'proposed', _CREATED)
 
-    async def _step_bundle(self, request: Request) -> Response:
+    async def _change_bundle(self, request: Request) -> Response:
         store = self.store
-        steps: dict[str, t.Any] = {
+        actions: dict[str, t.Any] = {
             'approve': store.approve,
             'roll': store.roll,
             'retire': store.retire,
         }
         action = request.path_params['action']
-        if action not in steps:
-            known = ', '.join(steps)
+        if action not in actions:
+            known = ', '.join(actions)
             raise InputError(f'unknown action {action!r}; one of: {known}')
         body = await read_json(request, SignatureBody, BUNDLE_LIMIT_BYTES)
         signature = Signature(body.operator, body.signature)
-        row = await steps[action](request.path_params['number'], signature)
+        row = await actions[action](request.path_params['number'], signature)
         return self._reply(row, action, 200)
 
     def _reply(self, row: BundleRow, action: str, status: int) -> Response:
--- a/src/tulippin/_error_body.py
+++ b/src/tulippin/_error_body.py
@@ -1,4 +1,4 @@
-"""The one shape in which errors are sent to callers and operators."""
+"""Bodies of the error responses to callers and operators."""
 
 from __future__ import annotations
 
--- a/src/tulippin/_http_app.py
+++ b/src/tulippin/_http_app.py
@@ -1,4 +1,7 @@
-"""What the callers' and the operators' HTTP have in common."""
+"""Request parsing, responses and errors shared by all HTTP APIs.
+
+The callers' and operators' APIs of both daemons build on it.
+"""
 
 from __future__ import annotations
 
@@ -31,41 +34,44 @@
     (ConflictError, 409),
     (UnavailableError, 503),
 )
-_TOO_LARGE: t.Final = 413
-_INTERNAL: t.Final = 500
-_MS: t.Final = 1000
+_STATUS_TOO_LARGE: t.Final = 413
+_STATUS_INTERNAL: t.Final = 500
+_MS_PER_S: t.Final = 1000
+_UNAVAILABLE_RETRY_MS: t.Final = 2000
 
 
 def make_json(
     value: t.Any, status: int = 200, retry_after_ms: int = 0
 ) -> Response:
-    """Return a value as a JSON response."""
+    """Return a JSON response; ``Retry-After`` is rounded up to seconds."""
     headers = {}
     if retry_after_ms:
-        headers['Retry-After'] = str(-(-retry_after_ms // _MS))
+        headers['Retry-After'] = str(-(-retry_after_ms // _MS_PER_S))
     return Response(
         codec.encode(value), status, headers, media_type='application/json'
     )
 
 
 def _get_status(error: TulippinError) -> int:
-    for kind, number in _STATUSES:
+    for kind, status in _STATUSES:
         if isinstance(error, kind):
-            return number
-    return _INTERNAL
+            return status
+    return _STATUS_INTERNAL
 
 
 def make_error(error: TulippinError) -> Response:
-    """Return an error of the family that has a status as a response."""
+    """Return the JSON error response for a ``TulippinError``."""
     status = _get_status(error)
     if error.code == 'too_large':
-        status = _TOO_LARGE
+        status = _STATUS_TOO_LARGE
     findings = tuple(
-        FindingBody(one.place, one.message, one.advice)
-        for one in getattr(error, 'findings', ())
+        FindingBody(finding.place, finding.message, finding.advice)
+        for finding in getattr(error, 'findings', ())
     )
     outcome = 'unknown' if error.code == 'unknown' else 'not_run'
-    retry_ms = 2000 if isinstance(error, UnavailableError) else 0
+    retry_ms = (
+        _UNAVAILABLE_RETRY_MS if isinstance(error, UnavailableError) else 0
+    )
     body = ErrorBody(error.code, error.message, outcome, retry_ms, findings)
     return make_json(body, status, retry_ms)
 
@@ -76,40 +82,41 @@
     Raises
     ------
     InputError
-        If it is longer than ``limit`` bytes, of which no more is read, or
-        if the caller leaves before its end.
+        If the body is longer than ``limit`` bytes (reading stops there),
+        or if the client disconnects before the end of the body.
     """
     try:
-        return await _read_parts(request, limit)
+        return await _read_chunks(request, limit)
     except ClientDisconnect as error:
         raise InputError('the caller left', code='caller_left') from error
 
 
-async def _read_parts(request: Request, limit: int) -> bytes:
-    parts = []
+async def _read_chunks(request: Request, limit: int) -> bytes:
+    chunks = []
     size = 0
-    async for part in request.stream():
-        size += len(part)
+    async for chunk in request.stream():
+        size += len(chunk)
         if size > limit:
             raise InputError(
                 f'the body is over {limit} bytes; send less',
                 code='too_large',
             )
-        parts.append(part)
-    return b''.join(parts)
+        chunks.append(chunk)
+    return b''.join(chunks)
 
 
 async def read_json(
     request: Request, kind: type[Decoded], limit: int
 ) -> Decoded:
-    """Return the body of a request as a value of a type."""
+    """Decode the JSON body of a request as a value of type ``kind``."""
     return codec.decode(await read_body(request, limit), kind)
 
 
 async def _handle_error(_: Request, error: Exception) -> Response:
     if isinstance(error, TulippinError):
-        if _get_status(error) == _INTERNAL:
-            # No call is refused by it: it is told and answered as a fault.
+        if _get_status(error) == _STATUS_INTERNAL:
+            # Not a rejection of the request: the server logs the error and
+            # responds as to any internal error.
             raise error
         return make_error(error)
     if isinstance(error, HTTPException):
@@ -118,12 +125,15 @@
         )
         body = ErrorBody(code, f'{error.detail}; see /openapi.json')
         return make_json(body, error.status_code)
-    # Whoever serves the application tells the error, which is raised on.
-    return Response(INTERNAL_BODY, _INTERNAL, media_type='application/json')
+    # Starlette raises the error again after this response; the server
+    # that runs the application logs it.
+    return Response(
+        INTERNAL_BODY, _STATUS_INTERNAL, media_type='application/json'
+    )
 
 
 def make_app(routes: t.Sequence[Route]) -> Starlette:
-    """Return an application whose errors all have one shape."""
+    """Return an application that sends every error as an ``ErrorBody``."""
     return Starlette(
         routes=list(routes),
         exception_handlers={
@@ -135,12 +145,13 @@
 
 
 def make_health_routes(is_ready: t.Callable[[], str]) -> list[Route]:
-    """Return the routes that the balancer asks.
+    """Return the liveness and readiness routes for load balancers.
 
     Parameters
     ----------
     is_ready : callable
-        Returns an empty text if ready, else the reason why not.
+        Returns an empty string if the instance is ready, else the reason
+        why it is not.
     """
 
     async def get_health(_: Request) -> Response:
--- a/src/tulippin/_http_client.py
+++ b/src/tulippin/_http_client.py
@@ -1,4 +1,4 @@
-"""One way to send a small HTTP request and read the whole answer."""
+"""HTTP client for the requests that instances send to other services."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from tulippin.exceptions import AnswerLostError, UnavailableError
 
 _JSON: t.Final = (b'Content-Type', b'application/json')
-_REFUSED: t.Final = (
+_NOT_SENT_ERRORS: t.Final = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
     httpcore.UnsupportedProtocol,
 )
-_BROKEN: t.Final = (
+_CONNECTION_ERRORS: t.Final = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
-    # A host that can be no host's name, as found out by what looks it up.
+    # Raised by name resolution for a malformed host name.
     ValueError,
 )
 _MAX_CONNECTIONS: t.Final = 64
-# Shorter than any server's own idle limit that the users name (15 s).
+# Below the shortest idle limit of the servers that are called (15 s).
 _KEEPALIVE_S: t.Final = 12.0
-# Servers close what was idle, and drop what was asked, while a machine is
-# suspended for longer; the connections' own limits do not count that time.
-_SUSPENDED_MS: t.Final = 1000
-_MS: t.Final = 1000
-# Of headers; any bytes are text in it.
-_LATIN: t.Final = 'latin-1'
+# Servers may close connections and drop requests while a machine is suspended
+# for longer than this. The keep-alive limit doesn't count suspended time.
+_MAX_SUSPENSION_MS: t.Final = 1000
+_MS_PER_S: t.Final = 1000
+# Decodes any byte that a header may hold.
+_HEADER_ENCODING: t.Final = 'latin-1'
 
 
 @attrs.frozen
 class HttpAnswer:
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -47,28 +47,32 @@
 
 @attrs.define
 class _Pool:
-    """Connections of one age, with the calls in progress on them."""
+    """A connection pool with the number of requests that use it.
+
+    ``initial_suspended_ms`` is the total time that the machine had been
+    suspended when the pool was created.
+    """
 
     connections: ConnectionPool
-    call_count: int = 0
+    request_count: int = 0
     is_retired: bool = False
-    suspended_ms: int = attrs.field(factory=read_suspended_ms)
+    initial_suspended_ms: int = attrs.field(factory=read_suspended_ms)
 
 
 class HttpClient:
-    """A pool of connections; an asynchronous context manager.
+    """HTTP client with a connection pool; an async context manager.
 
-    A call that times out retires the whole pool: what silenced one
-    connection has most likely silenced the idle ones beside it, and each
-    would cost the next caller a timeout of its own. So does a suspension of
-    the machine.
+    A request that times out retires the whole pool: the cause most likely
+    affects the idle connections too, and each of them would cost a later
+    request another timeout. A suspension of the machine retires the pool as
+    well. Requests that are open on a retired pool still complete.
 
     Parameters
     ----------
     timeout_s : float
-        For connecting, and for each read and write.
+        Limit for connecting and for each read and write.
     connections : int
-        The most connections at one time.
+        Maximum number of connections in use at one time.
     """
 
     def __init__(
@@ -77,7 +81,7 @@
         self._timeout_s = timeout_s
         self._connection_count = connections
         self._pool = self._make_pool()
-        self._retired: list[_Pool] = []
+        self._retired_pools: list[_Pool] = []
 
     def _make_pool(self) -> _Pool:
         return _Pool(ConnectionPool(self._connection_count, _KEEPALIVE_S))
@@ -92,30 +96,30 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        for pool in (self._pool, *self._retired):
+        for pool in (self._pool, *self._retired_pools):
             await pool.connections.aclose()
 
     def _retire(self, pool: _Pool) -> None:
         if not pool.is_retired:
             pool.is_retired = True
-            self._retired.append(pool)
+            self._retired_pools.append(pool)
             self._pool = self._make_pool()
 
-    async def _renew(self) -> None:
-        """Leave connections behind that are from before a suspension."""
+    async def _retire_if_suspended(self) -> None:
+        """Retire the pool if the machine was suspended since it was made."""
         pool = self._pool
-        if read_suspended_ms() - pool.suspended_ms < _SUSPENDED_MS:
+        if read_suspended_ms() - pool.initial_suspended_ms < _MAX_SUSPENSION_MS:
             return
         self._retire(pool)
-        if not pool.call_count:
-            self._retired.remove(pool)
+        if not pool.request_count:
+            self._retired_pools.remove(pool)
             await pool.connections.aclose()
 
-    async def _leave(self, pool: _Pool) -> None:
-        pool.call_count -= 1
-        if pool.is_retired and not pool.call_count:
-            if pool in self._retired:
-                self._retired.remove(pool)
+    async def _release(self, pool: _Pool) -> None:
+        pool.request_count -= 1
+        if pool.is_retired and not pool.request_count:
+            if pool in self._retired_pools:
+                self._retired_pools.remove(pool)
             with trio.CancelScope(shield=True):
                 await pool.connections.aclose()
 
@@ -127,54 +131,56 @@
         headers: t.Mapping[str, str] | None = None,
         extra_wait_ms: int = 0,
     ) -> HttpAnswer:
-        """Send a request, once, and return the whole answer.
+        """Send a request once, without retries, and return the response.
 
         Parameters
         ----------
         method, url : str
-            What to ask of whom.
+            Method and absolute URL of the request.
         body : bytes
-            What to send, as JSON.
+            Encoded JSON.
         headers : mapping of str to str, optional
-            Fields beside the type of the body.
+            Headers beside ``Content-Type``.
         extra_wait_ms : int
-            How long the other side may wait before it answers.
+            Added to the read timeout, for servers that hold a request open.
 
         Raises
         ------
         AnswerLostError
-            If the request was, or may have been, sent.
+            If the request was sent or may have been sent.
         UnavailableError
-            If it surely was not.
+            If the request was not sent.
         """
-        fields = [_JSON]
+        header_fields = [_JSON]
         for name, text in (headers or {}).items():
-            fields.append((name.encode(), text.encode()))
+            header_fields.append((name.encode(), text.encode()))
         timeouts = dict.fromkeys(
             ('connect', 'read', 'write', 'pool'), self._timeout_s
         )
-        timeouts['read'] += extra_wait_ms / _MS
-        await self._renew()
+        timeouts['read'] += extra_wait_ms / _MS_PER_S
+        await self._retire_if_suspended()
         pool = self._pool
-        pool.call_count += 1
+        pool.request_count += 1
         try:
-            answer = await pool.connections.request(
-                method, url, fields, body, timeouts
+            response = await pool.connections.request(
+                method, url, header_fields, body, timeouts
             )
-        except _REFUSED as error:
+        except _NOT_SENT_ERRORS as error:
             raise UnavailableError(f'{url} does not answer') from error
         except httpcore.TimeoutException as error:
             self._retire(pool)
             raise AnswerLostError(f'{url} is silent: {error!r}') from error
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             raise AnswerLostError(f'{url} broke off: {error!r}') from error
         finally:
-            await self._leave(pool)
+            await self._release(pool)
         return HttpAnswer(
-            answer.status,
+            response.status,
             {
-                name.decode(_LATIN).lower(): text.decode(_LATIN)
-                for name, text in answer.headers
+                name.decode(_HEADER_ENCODING).lower(): text.decode(
+                    _HEADER_ENCODING
+                )
+                for name, text in response.headers
             },
-            answer.content,
+            response.content,
         )
--- a/src/tulippin/_http_connections.py
+++ b/src/tulippin/_http_connections.py
@@ -1,10 +1,9 @@
-"""Connections that an HTTP client keeps open between its requests.
+"""Pool of keep-alive connections for the HTTP client.
 
-The library's own pool looks at every connection, and asks the kernel about
-each idle one, at the start and at the end of every request. An owner's
-calls to its workers spent 1.0 s of every 2.7 s there (profile of an owner
-of 24 workers with 190 starts a second); here a request takes one idle
-connection and asks about that one alone.
+The pool of httpcore scans all connections, with a system call for each idle
+one, at the start and at the end of every request. An owner of 24 workers with
+190 starts a second spent 1.0 s of every 2.7 s of its calls to workers there.
+The pool here checks only the connection that a request uses.
 """
 
 from __future__ import annotations
@@ -17,24 +16,24 @@
 import httpcore
 import trio
 
-_NOTHING: t.Final = b''
+_EMPTY: t.Final = b''
 
 
 class ConnectionPool:
-    """Idle connections by address, the last one used on top.
+    """Keep-alive connections by origin; the last one used is reused first.
 
     Parameters
     ----------
     connections : int
-        The most connections in use at one time.
+        Maximum number of connections in use at one time.
     keepalive_s : float
-        How long a connection may be idle.
+        Maximum time that a connection may be idle.
     """
 
     def __init__(self, connections: int, keepalive_s: float) -> None:
         self._limiter = trio.CapacityLimiter(connections)
         self._keepalive_s = keepalive_s
-        self._backend = JoiningBackend()
+        self._backend = CoalescingBackend()
         self._idle: dict[str, collections.deque[httpcore.AsyncHTTPConnection]]
         self._idle = {}
         self._is_closed = False
@@ -47,20 +46,20 @@
         content: bytes,
         timeouts: dict[str, float],
     ) -> httpcore.Response:
-        """Send a request and read its whole answer.
+        """Send a request and read the whole response.
 
         Raises
         ------
         httpcore.PoolTimeout
-            If no connection became free in time; nothing was sent.
+            If no connection became free in time. The request was not sent.
         httpcore.NetworkError, httpcore.ProtocolError
             If the request failed.
         httpcore.TimeoutException
-            If it took too long.
+            If connecting, reading or writing took too long.
         """
         target = httpcore.URL(url)
-        await self._take_turn(timeouts['pool'])
-        connection = await self._take(target.origin)
+        await self._acquire_slot(timeouts['pool'])
+        connection = await self._get_connection(target.origin)
         try:
             return await connection.request(
                 method,
@@ -71,16 +70,16 @@
             )
         finally:
             self._limiter.release()
-            await self._put_back(connection, target.origin)
+            await self._return_connection(connection, target.origin)
 
     async def aclose(self) -> None:
-        """Close all idle connections, and those in use once they are not."""
+        """Close idle connections now, those in use after their request."""
         self._is_closed = True
         for idle in self._idle.values():
             while idle:
                 await _close(idle.pop())
 
-    async def _take_turn(self, timeout_s: float) -> None:
+    async def _acquire_slot(self, timeout_s: float) -> None:
         with contextlib.suppress(trio.WouldBlock):
             self._limiter.acquire_nowait()
             return
@@ -90,10 +89,10 @@
         except trio.TooSlowError as error:
             raise httpcore.PoolTimeout('no connection is free') from error
 
-    async def _take(
+    async def _get_connection(
         self, origin: httpcore.Origin
     ) -> httpcore.AsyncHTTPConnection:
-        """Return an idle connection that is still good, or a new one."""
+        """Return an idle connection that is still usable, or a new one."""
         idle = self._idle.get(str(origin), ())
         while idle:
             connection = idle.pop()
@@ -106,14 +105,15 @@
             network_backend=self._backend,
         )
 
-    async def _put_back(
+    async def _return_connection(
         self,
         connection: httpcore.AsyncHTTPConnection,
         origin: httpcore.Origin,
     ) -> None:
-        # A connection that was never made counts as idle and as closed.
-        is_good = connection.is_idle() and not connection.is_closed()
-        if self._is_closed or not is_good:
+        # httpcore reports a connection that failed to open as both idle and
+        # closed.
+        is_reusable = connection.is_idle() and not connection.is_closed()
+        if self._is_closed or not is_reusable:
             await _close(connection)
             return
         idle = self._idle.setdefault(str(origin), collections.deque())
@@ -128,47 +128,48 @@
             await connection.aclose()
 
 
-class JoiningBackend(httpcore.TrioBackend):
-    """Makes connections that send each request in one piece."""
+class CoalescingBackend(httpcore.TrioBackend):
+    """Opens connections that send each request in a single write."""
 
     async def connect_tcp(self, *args: t.Any, **options: t.Any) -> t.Any:
-        """Connect; see the library."""
-        return JoiningStream(await super().connect_tcp(*args, **options))
+        """Open a TCP connection that coalesces writes."""
+        return CoalescingStream(await super().connect_tcp(*args, **options))
 
 
-class JoiningStream(httpcore.AsyncNetworkStream):
-    """A stream that sends what was written once an answer is awaited.
+class CoalescingStream(httpcore.AsyncNetworkStream):
+    """A stream that buffers writes until the next read.
 
-    The library writes a request's head and body apart, which cost a system
-    call and a packet more for each request, and the other side a wake-up.
+    httpcore writes the head and the body of a request separately, which
+    costs another system call and packet for each request, and another
+    wake-up of the server.
 
     Parameters
     ----------
     stream : httpcore.AsyncNetworkStream
-        The connection.
+        The underlying connection.
     """
 
     def __init__(self, stream: httpcore.AsyncNetworkStream) -> None:
         self._stream = stream
-        self._written: list[bytes] = []
-        self._timeout_s: float | None = None
+        self._pending_writes: list[bytes] = []
+        self._write_timeout_s: float | None = None
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Send what was written, then receive."""
-        if self._written:
-            joined = _NOTHING.join(self._written)
-            self._written.clear()
-            # The other side may have answered before it closed; if not,
-            # the reading fails.
+        """Send the buffered writes, then receive."""
+        if self._pending_writes:
+            pending = _EMPTY.join(self._pending_writes)
+            self._pending_writes.clear()
+            # The server may have sent a response before it closed the
+            # connection. If not, the read below fails.
             with contextlib.suppress(httpcore.WriteError):
-                await self._stream.write(joined, self._timeout_s)
+                await self._stream.write(pending, self._write_timeout_s)
         return await self._stream.read(max_bytes, timeout)
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Keep bytes until an answer is awaited."""
+        """Buffer bytes until the next read."""
         if buffer:
-            self._written.append(buffer)
-            self._timeout_s = timeout
+            self._pending_writes.append(buffer)
+            self._write_timeout_s = timeout
 
     async def aclose(self) -> None:
         """Close the connection."""
@@ -180,12 +181,12 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Go on with TLS; nothing was written before that."""
+        """Start TLS; no writes are buffered at that point."""
         stream = await self._stream.start_tls(
             ssl_context, server_hostname, timeout
         )
-        return JoiningStream(stream)
+        return CoalescingStream(stream)
 
     def get_extra_info(self, info: str) -> t.Any:
-        """Return what the library knows of the connection."""
+        """Return details of the underlying connection."""
         return self._stream.get_extra_info(info)
--- a/src/tulippin/_http_guard.py
+++ b/src/tulippin/_http_guard.py
@@ -1,4 +1,4 @@
-"""What becomes of an error that an application did not mean to raise."""
+"""Logging of, and responses to, unexpected errors of an ASGI application."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from tulippin._error_body import ErrorBody
 from tulippin.codec_json import encode
 
-# Of what a caller sends, a log line takes so much.
-_PATH_SIGNS: t.Final = 200
-_ID_SIGNS: t.Final = 64
-_INTERNAL: t.Final = 500
-# What was asked for may have been done before the error: to say that it was
-# not run would have it done twice.
+# Limits on how much of a request's path goes into a log line.
+_MAX_PATH_LENGTH: t.Final = 200
+_MAX_ID_LENGTH: t.Final = 64
+_STATUS_INTERNAL: t.Final = 500
+# The request may have taken effect before the error. Reporting it as not run
+# would make the caller repeat it.
 INTERNAL_MESSAGE: t.Final = (
     'a fault of ours, it may have been done; ask for its state'
 )
@@ -29,16 +29,17 @@
 Send: t.TypeAlias = t.Callable[[Message], t.Awaitable[None]]
 
 
-class GuardedApp:
-    """An ASGI application whose unexpected errors are told and answered.
+class ErrorMiddleware:
+    """ASGI middleware that logs unexpected errors and responds to them.
 
-    The server below logs nothing, as its lines are no JSON: without this an
-    error would be a bare 500 to the caller and nothing to an operator.
+    The logs of hypercorn are switched off because its lines are not JSON.
+    Without this class a caller would get a 500 with an empty body, and no
+    log line would name the error.
 
     Parameters
     ----------
     app : ASGI application
-        What answers.
+        The wrapped application.
     """
 
     def __init__(self, app: t.Any) -> None:
@@ -47,49 +48,50 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Answer one call."""
+        """Handle one ASGI connection."""
         if scope['type'] != 'http':
             await self._app(scope, receive, send)
             return
-        answer = _Answer(send)
+        response = _ResponseSender(send)
         try:
-            await self._app(scope, receive, answer.send)
+            await self._app(scope, receive, response.send)
         except Exception as error:
-            _tell(error, scope)
+            _log_failure(error, scope)
         except BaseExceptionGroup as group:
             _, unexpected = group.split(trio.Cancelled)
             if unexpected is not None:
-                _tell(unexpected, scope)
+                _log_failure(unexpected, scope)
             raise
         else:
             return
-        # An answer that has begun is left incomplete, which its reader sees.
-        if not answer.has_begun:
+        # A response that has started stays incomplete; the client detects that.
+        if not response.has_started:
             await _send_failure(send)
 
 
-class _Answer:
-    """Passes an answer on and remembers whether it has begun."""
+class _ResponseSender:
+    """Forwards response messages and records whether one was sent."""
 
     def __init__(self, send: Send) -> None:
         self._send = send
-        self.has_begun = False
+        self.has_started = False
 
     async def send(self, message: Message) -> None:
-        """Pass a part of the answer on."""
+        """Forward one response message."""
         await self._send(message)
-        # A start that the server refuses, for its headers, sends nothing.
-        self.has_begun = True
+        # Set after sending: when the server rejects the start message, for
+        # example for its headers, it sends nothing.
+        self.has_started = True
 
 
-def _tell(error: BaseException, scope: Scope) -> None:
+def _log_failure(error: BaseException, scope: Scope) -> None:
     path = scope['path']
     failures.tell(
         'call failed',
         error,
         method=scope['method'],
-        path=path[:_PATH_SIGNS],
-        id=path.rpartition('/')[-1][:_ID_SIGNS],
+        path=path[:_MAX_PATH_LENGTH],
+        id=path.rpartition('/')[-1][:_MAX_ID_LENGTH],
     )
 
 
@@ -101,7 +103,7 @@
     ]
     start = {
         'type': 'http.response.start',
-        'status': _INTERNAL,
+        'status': _STATUS_INTERNAL,
         'headers': headers,
     }
     await send(start)
--- a/src/tulippin/_http_server.py
+++ b/src/tulippin/_http_server.py
@@ -1,4 +1,4 @@
-"""One HTTP listener: an application served by hypercorn under trio."""
+"""HTTP listener that serves an ASGI application with hypercorn and trio."""
 
 from __future__ import annotations
 
@@ -10,24 +10,25 @@
 from hypercorn.config import Config as HypercornConfig
 from hypercorn.trio import serve
 
-from tulippin._http_guard import GuardedApp
+from tulippin._http_guard import ErrorMiddleware
 from tulippin.exceptions import UnavailableError
 
-_BACKLOG: t.Final = 512
-_GRACE_S: t.Final = 3.0
+_BACKLOG_CONNECTIONS: t.Final = 512
+_SHUTDOWN_GRACE_S: t.Final = 3.0
 
 
 class HttpServer:
-    """Serves an application; a context manager that holds the socket.
+    """Serves an application; a context manager that binds the socket.
 
     Parameters
     ----------
     app : ASGI application
-        What answers.
+        The application to serve.
     address : str
-        IP and port; port 0 takes a free one, see ``port``.
+        IP address and port. With port 0 the system assigns a free port,
+        which ``port`` holds after the socket is bound.
     certificate, key, authority : str
-        PEM files; with an authority, clients must show a certificate.
+        PEM files. With an authority, clients must present a certificate.
     """
 
     def __init__(
@@ -38,12 +39,12 @@
         key: str = '',
         authority: str = '',
     ) -> None:
-        self._app = GuardedApp(app)
+        self._app = ErrorMiddleware(app)
         self._address = address
         self._config = HypercornConfig()
         self._config.accesslog = None
         self._config.errorlog = None
-        self._config.graceful_timeout = _GRACE_S
+        self._config.graceful_timeout = _SHUTDOWN_GRACE_S
         self._config.include_server_header = False
         if certificate:
             self._config.certfile = certificate
@@ -57,7 +58,7 @@
         self.port = 0
 
     def __enter__(self) -> t.Self:
-        """Bind the socket."""
+        """Bind the socket and listen."""
         host, _, port = self._address.rpartition(':')
         family = socket.AF_INET6 if ':' in host else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
@@ -70,25 +71,25 @@
                 f'cannot listen on {self._address}: {error}',
                 code='address_in_use',
             ) from error
-        listener.listen(_BACKLOG)
+        listener.listen(_BACKLOG_CONNECTIONS)
         self._socket = listener
         self.port = listener.getsockname()[1]
         return self
 
     def __exit__(self, *details: object) -> None:
-        """Close the socket, unless it was served."""
+        """Close the socket, unless ``serve`` has passed it to hypercorn."""
         if self._socket is not None:
             self._socket.close()
 
     def shut_down(self) -> None:
-        """Take nothing new; requests in progress go on to their end."""
+        """Stop accepting requests; requests in progress complete."""
         self._stopping.set()
 
     async def serve(
         self, task_status: t.Any = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until shut down and all requests are answered."""
-        # From here on the socket is hypercorn's, which closes it.
+        """Serve until ``shut_down`` is called and all requests are complete."""
+        # hypercorn owns the socket from here on and closes it.
         self._config.bind = [f'fd://{self._socket.detach()}']
         await serve(
             self._app,
--- a/src/tulippin/cli.py
+++ b/src/tulippin/cli.py
@@ -57,7 +57,7 @@
 
 
 def make_application() -> Application:
-    """Return the command line with all its commands."""
+    """Return the command-line application with all its commands."""
     application = Application('tulippin', __version__)
     for command in COMMANDS:
         application.add(command())
--- a/src/tulippin/cli_base.py
+++ b/src/tulippin/cli_base.py
@@ -1,4 +1,4 @@
-"""What the commands of the command line have in common."""
+"""Base classes and helpers of the command-line commands."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
 
 
 class BaseCommand(Command):
-    """A command whose errors are shown and end in their exit code."""
+    """A command that prints a ``TulippinError`` and exits with its code."""
 
     def handle(self) -> int:
         """Run the command; return its exit code."""
         try:
-            self.run_checked()
+            self.run_command()
         except TulippinError as error:
             error.show()
             return error.exit_code
         return 0
 
-    def run_checked(self) -> None:
-        """Do the command's work; errors of the family may pass."""
+    def run_command(self) -> None:
+        """Run the command; ``handle`` prints any ``TulippinError``."""
         raise NotImplementedError
 
     def show_rows(
-        self, heads: t.Sequence[str], rows: t.Sequence[t.Sequence[t.Any]]
+        self, columns: t.Sequence[str], rows: t.Sequence[t.Sequence[t.Any]]
     ) -> None:
         """Print rows as a table."""
-        table = self.table(list(heads), [list(map(str, row)) for row in rows])
+        table = self.table(list(columns), [list(map(str, row)) for row in rows])
         table.render()
 
     def read_file(self, name: str) -> str:
-        """Return a text file's content."""
+        """Return the content of a text file."""
         try:
             return pathlib.Path(name).read_text()
         except (OSError, UnicodeDecodeError) as error:
@@ -61,7 +61,7 @@
             ) from error
 
     def require(self, name: str) -> str:
-        """Return an option that must be given."""
+        """Return the value of a required option."""
         value = self.option(name)
         if not value:
             raise InputError(f'give --{name}', code='usage')
@@ -69,12 +69,12 @@
 
 
 class ApiCommand(BaseCommand):
-    """A command that talks to an instance."""
+    """A command that calls the operators' API of an instance."""
 
     options = list(API_OPTIONS)
 
     def open_client(self) -> ApiClient:
-        """Return a client of the instance asked for."""
+        """Return a client of the instance that the options name."""
         url = self.option('url') or os.environ.get('TULIPPIN_URL', _DEFAULT_URL)
         tls = make_tls_context(
             self.option('authority') or '',
@@ -84,12 +84,12 @@
         return ApiClient(url, tls)
 
     def send(self, method: str, path: str, body: t.Any = None) -> t.Any:
-        """Call the instance once."""
+        """Send one request to the instance; return the decoded response."""
         with self.open_client() as client:
             return client.send(method, path, body)
 
     def wants_json(self) -> bool:
-        """Tell whether JSON is asked for."""
+        """Return whether the output format is JSON."""
         output = self.option('output')
         if output not in {'table', 'json'}:
             raise InputError(f'--output {output}: table or json', code='usage')
@@ -100,18 +100,18 @@
         self.line(encode(value).decode(), style=None)
 
 
-def get_number(text: str, place: str = 'number') -> int:
-    """Return a whole number from the command line."""
+def parse_int(text: str, label: str = 'number') -> int:
+    """Parse an integer argument; ``label`` names it in the error."""
     try:
         return int(text)
     except ValueError as error:
         raise InputError(
-            f'{place}: {text!r} is not a whole number', code='usage'
+            f'{label}: {text!r} is not a whole number', code='usage'
         ) from error
 
 
 def warn_missing(command: BaseCommand, missing: t.Sequence[str]) -> None:
-    """Say which instances' figures are missing."""
+    """Print a warning that names the instances without figures."""
     if missing:
         names = ', '.join(missing)
         command.line_error(f'without the figures of: {names}')
--- a/src/tulippin/cli_bundles.py
+++ b/src/tulippin/cli_bundles.py
@@ -1,4 +1,4 @@
-"""Commands on bundles and operators' keys."""
+"""Commands for bundles and operators' keys."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     SIGN_OPTIONS,
     ApiCommand,
     BaseCommand,
-    get_number,
+    parse_int,
 )
 from tulippin.exceptions import InputError
 
@@ -25,7 +25,7 @@
     description = 'Make a signing key; prints the public part for [operators].'
     arguments = [argument('file', 'Where to write the private key.')]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Make the key."""
         path = pathlib.Path(self.argument('file'))
         if path.exists():
@@ -43,7 +43,7 @@
     description = 'Check a bundle file and print every finding.'
     arguments = [argument('file', 'The bundle, INI.')]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Check the bundle."""
         name = self.argument('file')
         text = self.read_file(name)
@@ -62,8 +62,8 @@
     arguments = [argument('file', 'The bundle, INI.')]
     options = [*API_OPTIONS, *SIGN_OPTIONS]
 
-    def run_checked(self) -> None:
-        """Sign and propose."""
+    def run_command(self) -> None:
+        """Sign the bundle and propose it."""
         text = self.read_file(self.argument('file'))
         parse_bundle(text, self.argument('file'))
         operator = self.require('operator')
@@ -77,16 +77,16 @@
         show_bundle(self, self.send('POST', '/v1/bundles', body))
 
 
-class _BundleStep(ApiCommand):
-    """Signs one step of a bundle's life."""
+class _BundleAction(ApiCommand):
+    """Base class of the commands that change the state of a bundle."""
 
     action = ''
     arguments = [argument('number', 'The number of the bundle.')]
     options = [*API_OPTIONS, *SIGN_OPTIONS]
 
-    def run_checked(self) -> None:
-        """Sign the step and ask for it."""
-        number = get_number(self.argument('number'))
+    def run_command(self) -> None:
+        """Sign the action and send it."""
+        number = parse_int(self.argument('number'))
         path = f'/v1/bundles/{number}'
         row = self.send('GET', path)
         operator = self.require('operator')
@@ -96,7 +96,7 @@
         show_bundle(self, self.send('POST', f'{path}/{self.action}', body))
 
 
-class BundleApprove(_BundleStep):
+class BundleApprove(_BundleAction):
     """Approve a bundle."""
 
     name = 'bundle approve'
@@ -104,7 +104,7 @@
     action = 'approve'
 
 
-class BundleRoll(_BundleStep):
+class BundleRoll(_BundleAction):
     """Roll a bundle."""
 
     name = 'bundle roll'
@@ -112,7 +112,7 @@
     action = 'roll'
 
 
-class BundleRetire(_BundleStep):
+class BundleRetire(_BundleAction):
     """Retire a bundle."""
 
     name = 'bundle retire'
@@ -127,9 +127,9 @@
     description = 'Show a bundle with its text and signatures.'
     arguments = [argument('number', 'The number of the bundle.')]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Show the bundle."""
-        number = get_number(self.argument('number'))
+        number = parse_int(self.argument('number'))
         row = self.send('GET', f'/v1/bundles/{number}')
         show_bundle(self, row)
         if not self.wants_json():
@@ -142,11 +142,11 @@
     name = 'bundle list'
     description = 'List all bundles and where each stands.'
 
-    def run_checked(self) -> None:
-        """List the bundles."""
-        found = self.send('GET', '/v1/bundles')
+    def run_command(self) -> None:
+        """Print the bundles."""
+        response = self.send('GET', '/v1/bundles')
         if self.wants_json():
-            self.show_json(found)
+            self.show_json(response)
             return
         rows = [
             (
@@ -156,7 +156,7 @@
                 (row['approved'] or {}).get('operator', ''),
                 row['digest'][:12],
             )
-            for row in found['bundles']
+            for row in response['bundles']
         ]
         self.show_rows(
             ('number', 'state', 'proposed by', 'approved by', 'digest'), rows
--- a/src/tulippin/cli_jobs.py
+++ b/src/tulippin/cli_jobs.py
@@ -1,4 +1,4 @@
-"""Commands on jobs."""
+"""Commands for jobs."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from tulippin.cli_base import (
     API_OPTIONS,
     ApiCommand,
-    get_number,
+    parse_int,
     warn_missing,
 )
 from tulippin.exceptions import InputError
 from tulippin.types import JobKind, JobSpec, Resources
 
-_MS: t.Final = 1000
+_MS_PER_S: t.Final = 1000
 
 
 class JobSubmit(ApiCommand):
@@ -39,7 +39,7 @@
         option('priority', None, '100 is urgent.', flag=False, default='0'),
     ]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Submit the job."""
         kind = JobKind(self._get_kind())
         run_s = self._get_int('run-s') if kind is JobKind.BATCH else 0
@@ -54,7 +54,7 @@
                 self._get_int('memory'),
                 self._get_int('accelerators'),
             ),
-            run_s * _MS,
+            run_s * _MS_PER_S,
             self._get_int('priority'),
         )
         show_jobs(self, [self.send('POST', '/v1/jobs', body)])
@@ -66,7 +66,7 @@
         return kind
 
     def _get_int(self, name: str) -> int:
-        return get_number(str(self.option(name)), f'--{name}')
+        return parse_int(str(self.option(name)), f'--{name}')
 
 
 class JobShow(ApiCommand):
@@ -76,7 +76,7 @@
     description = 'Show a job.'
     arguments = [argument('job_id', 'The id of the job.')]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Show the job."""
         job_id = self.argument('job_id')
         show_jobs(self, [self.send('GET', f'/v1/jobs/{job_id}')])
@@ -89,7 +89,7 @@
     description = 'Cancel a job; its running tasks are stopped.'
     arguments = [argument('job_id', 'The id of the job.')]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Cancel the job."""
         job_id = self.argument('job_id')
         show_jobs(self, [self.send('DELETE', f'/v1/jobs/{job_id}')])
@@ -102,15 +102,15 @@
     description = 'List jobs, of one team if you name it.'
     options = [*API_OPTIONS, option('team', 't', 'Only its jobs.', flag=False)]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """List the jobs."""
         team = self.option('team') or ''
-        found = self.send('GET', f'/v1/jobs?team={team}')
+        response = self.send('GET', f'/v1/jobs?team={team}')
         if self.wants_json():
-            self.show_json(found)
+            self.show_json(response)
         else:
-            show_jobs(self, found['jobs'])
-        warn_missing(self, found['missing'])
+            show_jobs(self, response['jobs'])
+        warn_missing(self, response['missing'])
 
 
 def show_jobs(
--- a/src/tulippin/cli_scheduler.py
+++ b/src/tulippin/cli_scheduler.py
@@ -1,4 +1,4 @@
-"""Commands that show a running scheduler on the users' platform."""
+"""Commands that show the state of a running scheduler instance."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tulippin.cli_base import ApiCommand
 from tulippin.exceptions import InputError
 
-# The views of the internal listener, with the key of their rows.
-_VIEWS: t.Final = {
+# Views of the internal listener, and the key of the rows in the response.
+_ROW_KEYS: t.Final = {
     'units': 'units',
     'lives': 'lives',
     'jobs': 'jobs',
@@ -21,28 +21,30 @@
 
 
 class SchedulerShow(ApiCommand):
-    """Show one view of a scheduler."""
+    """Show one view of a scheduler instance."""
 
     name = 'scheduler show'
     description = 'Show one view of a scheduler, such as units, lives or jobs.'
-    arguments = [argument('view', f'One of: {", ".join(_VIEWS)}.')]
+    arguments = [argument('view', f'One of: {", ".join(_ROW_KEYS)}.')]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Show the view."""
         view = self.argument('view')
-        if view not in _VIEWS:
-            known = ', '.join(_VIEWS)
+        if view not in _ROW_KEYS:
+            known = ', '.join(_ROW_KEYS)
             raise InputError(f'{view}: one of {known}', code='usage')
-        found = self.send('GET', f'/v1/{view}')
+        response = self.send('GET', f'/v1/{view}')
         if self.wants_json():
-            self.show_json(found)
+            self.show_json(response)
             return
-        rows = found[_VIEWS[view]]
+        rows = response[_ROW_KEYS[view]]
         if not rows:
             self.line(f'no {view}')
             return
-        heads = list(rows[0])
-        self.show_rows(heads, [[row[head] for head in heads] for row in rows])
+        columns = list(rows[0])
+        self.show_rows(
+            columns, [[row[column] for column in columns] for row in rows]
+        )
 
 
 class SchedulerJob(ApiCommand):
@@ -52,6 +54,6 @@
     description = 'Show a job with its runs, from the instance that owns it.'
     arguments = [argument('job', "The job's id.")]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Show the job."""
         self.show_json(self.send('GET', f'/v1/jobs/{self.argument("job")}'))
--- a/src/tulippin/cli_views.py
+++ b/src/tulippin/cli_views.py
@@ -1,4 +1,4 @@
-"""Commands that show: comparison, dump, instances, workers, demo."""
+"""Commands that check settings, show state and run the demonstration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     API_OPTIONS,
     ApiCommand,
     BaseCommand,
-    get_number,
+    parse_int,
     warn_missing,
 )
 from tulippin.codec_json import decode, encode
@@ -31,7 +31,7 @@
     description = 'Check a settings file and print every finding.'
     arguments = [argument('file', 'The settings, INI.')]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Check the file."""
         path = self.argument('file')
         text = self.read_file(path)
@@ -53,18 +53,18 @@
         option('html', None, 'Also write a report to a file.', flag=False),
     ]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Show the comparison."""
-        found = self.send('GET', '/v1/compare')
+        response = self.send('GET', '/v1/compare')
         if self.wants_json():
-            self.show_json(found)
+            self.show_json(response)
         else:
-            show_comparison(self, found)
+            show_comparison(self, response)
         if self.option('html'):
             with self.open_client() as client:
                 page = client.send_raw('GET', '/v1/compare.html')
             pathlib.Path(self.option('html')).write_bytes(page)
-        warn_missing(self, found['missing'])
+        warn_missing(self, response['missing'])
 
 
 class Dump(ApiCommand):
@@ -73,7 +73,7 @@
     name = 'dump'
     description = 'Print the whole state of one instance as JSON.'
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Print the dump."""
         self.show_json(self.send('GET', '/v1/dump'))
 
@@ -84,21 +84,23 @@
     name = 'instances'
     description = 'List the instances as one of them sees them.'
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """List the instances."""
-        found = self.send('GET', '/v1/instances')
+        response = self.send('GET', '/v1/instances')
         if self.wants_json():
-            self.show_json(found)
+            self.show_json(response)
             return
-        heads = (
+        columns = (
             'instance_id',
             'failure_domain',
             'standing',
             'bundle_number',
             'silent_ms',
         )
-        rows = [[row[head] for head in heads] for row in found['instances']]
-        self.show_rows(heads, rows)
+        rows = [
+            [row[column] for column in columns] for row in response['instances']
+        ]
+        self.show_rows(columns, rows)
 
 
 class Workers(ApiCommand):
@@ -107,13 +109,13 @@
     name = 'workers'
     description = 'List the workers by cell, with what they hold.'
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """List the workers."""
-        found = self.send('GET', '/v1/workers')
+        response = self.send('GET', '/v1/workers')
         if self.wants_json():
-            self.show_json(found)
+            self.show_json(response)
             return
-        heads = (
+        columns = (
             'attempt_count',
             'reserved_cpu_millicores',
             'capacity_cpu_millicores',
@@ -122,12 +124,12 @@
             'leaving',
         )
         rows = [
-            (cell, worker_id, *(worker[head] for head in heads))
-            for cell, body in sorted(found['cells'].items())
+            (cell, worker_id, *(worker[column] for column in columns))
+            for cell, body in sorted(response['cells'].items())
             for worker_id, worker in sorted(body['workers'].items())
         ]
-        self.show_rows(('cell', 'worker', *heads), rows)
-        warn_missing(self, found['missing'])
+        self.show_rows(('cell', 'worker', *columns), rows)
+        warn_missing(self, response['missing'])
 
 
 class Demo(BaseCommand):
@@ -140,12 +142,12 @@
         option('html', None, 'Write the report to a file.', flag=False),
     ]
 
-    def run_checked(self) -> None:
+    def run_command(self) -> None:
         """Run the demonstration and show the comparison."""
-        # Loaded late: it brings every server with it.
+        # Imported here because it loads the modules of all servers.
         from tulippin.demo import run_demo
 
-        seconds = get_number(str(self.option('seconds')), '--seconds')
+        seconds = parse_int(str(self.option('seconds')), '--seconds')
         result = trio.run(run_demo, seconds, self.line)
         show_comparison(self, decode(encode(result.comparison), t.Any))
         for line in result.lines:
@@ -158,9 +160,11 @@
             )
 
 
-def show_comparison(command: BaseCommand, found: t.Mapping[str, t.Any]) -> None:
+def show_comparison(
+    command: BaseCommand, comparison: t.Mapping[str, t.Any]
+) -> None:
     """Print a comparison."""
-    heads = (
+    columns = (
         'policy',
         'request_count',
         'p50_ms',
@@ -172,21 +176,21 @@
         'wasted_ms',
         'weighted_cost',
     )
-    rows = [[row[head] for head in heads] for row in found['rows']]
-    command.show_rows(heads, rows)
+    rows = [[row[column] for column in columns] for row in comparison['rows']]
+    command.show_rows(columns, rows)
     pairs = [
         (
-            one['measure'],
-            f'{one["first"]} - {one["second"]}',
-            one['pair_count'],
-            f'{one["mean"]:.4g}',
-            f'{one["low"]:.4g} to {one["high"]:.4g}',
-            'yes' if one['decided'] else 'no',
+            difference['measure'],
+            f'{difference["first"]} - {difference["second"]}',
+            difference['pair_count'],
+            f'{difference["mean"]:.4g}',
+            f'{difference["low"]:.4g} to {difference["high"]:.4g}',
+            'yes' if difference['decided'] else 'no',
         )
-        for one in found['differences']
+        for difference in comparison['differences']
     ]
     if pairs:
         command.show_rows(
             ('measure', 'difference', 'pairs', 'mean', '95%', 'decided'), pairs
         )
-    command.line(f'verdict: {found["verdict"]}')
+    command.line(f'verdict: {comparison["verdict"]}')
--- a/src/tulippin/client.py
+++ b/src/tulippin/client.py
@@ -19,9 +19,9 @@
     UnavailableError,
 )
 
-_FIRST_ERROR: t.Final = 400
+_MIN_ERROR_STATUS: t.Final = 400
 _TIMEOUT_S: t.Final = 15.0
-_KINDS: t.Final[dict[int, type[TulippinError]]] = {
+_ERROR_CLASSES: t.Final[dict[int, type[TulippinError]]] = {
     400: InputError,
     403: DeniedError,
     404: NotFoundError,
@@ -36,7 +36,7 @@
 def make_tls_context(
     authority: str, certificate: str, key: str
 ) -> ssl.SSLContext | None:
-    """Return a TLS context from PEM files, or nothing if none is given."""
+    """Return a TLS context from PEM files, or ``None`` without an authority."""
     if not authority:
         return None
     context = ssl.create_default_context(cafile=authority)
@@ -46,14 +46,14 @@
 
 
 class ApiClient:
-    """Calls one instance; a context manager.
+    """HTTP client of one instance; a context manager.
 
     Parameters
     ----------
     url : str
-        Where the instance's operators' listener is.
+        Base URL of the instance's listener for operators.
     tls : ssl.SSLContext, optional
-        For ``https``.
+        TLS context for ``https`` URLs.
     """
 
     def __init__(self, url: str, tls: ssl.SSLContext | None = None) -> None:
@@ -69,20 +69,20 @@
         self._pool.close()
 
     def send(self, method: str, path: str, body: t.Any = None) -> t.Any:
-        """Send a request and return the answer's JSON.
+        """Send a request and return the decoded JSON response.
 
         Raises
         ------
         TulippinError
-            Of the kind that the instance answers with.
+            Of the class that the response status stands for.
         """
         return decode(self.send_raw(method, path, body), t.Any)
 
     def send_raw(self, method: str, path: str, body: t.Any = None) -> bytes:
-        """Send a request and return the answer's body."""
+        """Send a request and return the response body."""
         timeouts = dict.fromkeys(('connect', 'read', 'write'), _TIMEOUT_S)
         try:
-            answer = self._pool.request(
+            response = self._pool.request(
                 method,
                 f'{self._url}{path}',
                 headers={'Content-Type': 'application/json'},
@@ -99,9 +99,9 @@
                 f'{self._url} does not answer ({error!r}); give another'
                 ' instance by --url or TULIPPIN_URL'
             ) from error
-        if answer.status >= _FIRST_ERROR:
-            raise _make_error(answer.status, answer.content)
-        return answer.content
+        if response.status >= _MIN_ERROR_STATUS:
+            raise _make_error(response.status, response.content)
+        return response.content
 
 
 def _make_error(status: int, content: bytes) -> TulippinError:
@@ -109,10 +109,11 @@
         body = decode(content, ErrorBody)
     except InputError:
         return TulippinError(f'the instance answers {status}', 'http_error')
-    kind = _KINDS.get(status, TulippinError)
-    if kind is InputError:
+    error_class = _ERROR_CLASSES.get(status, TulippinError)
+    if error_class is InputError:
         findings = [
-            Finding(one.place, one.message, one.advice) for one in body.findings
+            Finding(finding.place, finding.message, finding.advice)
+            for finding in body.findings
         ]
         return InputError(body.message, findings, body.code)
-    return kind(body.message, body.code)
+    return error_class(body.message, body.code)
--- a/src/tulippin/http_callers.py
+++ b/src/tulippin/http_callers.py
@@ -32,9 +32,9 @@
 from tulippin.shell import Shell
 from tulippin.types import JobKind, JobSpec, OutcomeKind
 
-_NAME: t.Final = re.compile(r'[A-Za-z0-9][A-Za-z0-9._:-]{0,127}')
+_NAME_PATTERN: t.Final = re.compile(r'[A-Za-z0-9][A-Za-z0-9._:-]{0,127}')
 _CLOCK_SKEW_MS: t.Final = 5000
-_STATUSES: t.Final = {
+_OUTCOME_STATUSES: t.Final = {
     OutcomeKind.ANSWERED: 200,
     OutcomeKind.NOT_RUN: 503,
     OutcomeKind.UNKNOWN: 504,
@@ -50,7 +50,7 @@
     'unknown': 504,
     'overloaded': 429,
 }
-_MESSAGES: t.Final = {
+_CODE_MESSAGES: t.Final = {
     'id_reused': 'this id was used with another body; choose a new id',
     'job_id_reused': 'this job id has other content; choose a new id',
     'unknown_team': 'the bundle in force does not name the team; ask an'
@@ -67,20 +67,21 @@
     'deadline': 'the time ran out before it was sent',
     'outcome_not_known': 'it was sent once and how it ended is not known',
 }
-_MAX_TASK_MILLICORES: t.Final = 10**9
+_DEFAULT_UPPER_BOUND: t.Final = 10**9
 
 
 class CallersApi:
-    """Answers callers by way of a shell.
+    """HTTP handlers for callers, on the shell of an instance.
 
     Parameters
     ----------
     shell : Shell
-        The instance.
+        The instance's shell.
     limits : LimitSettings
-        What callers may send.
+        Limits on the size and duration of requests.
     is_ready : callable
-        Returns the reason why the instance is not ready, or nothing.
+        Returns an empty string if the instance is ready, else the reason
+        why it is not.
     """
 
     def __init__(
@@ -108,7 +109,7 @@
         )
 
     def make_job_routes(self) -> list[Route]:
-        """Return the routes for jobs, which operators have too."""
+        """Return the routes for jobs, which the operators' API serves too."""
         job_path = '/v1/jobs/{job_id}'
         return [
             Route('/v1/jobs', self._submit_job, methods=['POST']),
@@ -140,7 +141,7 @@
         return _render_outcome(call.request_id, outcome)
 
     def _check_call(self, service: str, call: ServiceCall) -> int:
-        """Return the time remaining, or raise with every finding."""
+        """Return the remaining time in ms, or raise with all findings."""
         findings = [
             Finding(place, f'{name!r} is no name', 'letters, digits, . _ : -')
             for place, name in (
@@ -148,7 +149,7 @@
                 ('$.team', call.team),
                 ('path.service', service),
             )
-            if not _NAME.fullmatch(name)
+            if not _NAME_PATTERN.fullmatch(name)
         ]
         timeout_ms = self._limits.default_deadline_ms
         if call.timeout_ms is not None:
@@ -191,7 +192,7 @@
             ('$.team', body.team),
             ('$.job_class', body.job_class),
         ):
-            if not _NAME.fullmatch(name):
+            if not _NAME_PATTERN.fullmatch(name):
                 findings.append(
                     Finding(place, f'{name!r} is no name', 'letters, digits')
                 )
@@ -205,14 +206,14 @@
             ('$.priority', body.priority, 0, 1000),
             ('$.max_failures', body.max_failures, 1, 100),
         )
-        for place, number, least, most in bounds:
-            high = _MAX_TASK_MILLICORES if most is None else most
-            if not least <= number <= high:
+        for place, number, low, limit in bounds:
+            high = _DEFAULT_UPPER_BOUND if limit is None else limit
+            if not low <= number <= high:
                 findings.append(
                     Finding(
                         place,
                         f'{number} is out of bounds',
-                        f'{least} to {high}',
+                        f'{low} to {high}',
                     )
                 )
         if body.kind is JobKind.BATCH and body.run_ms == 0:
@@ -232,14 +233,14 @@
 
     async def _list_jobs(self, request: Request) -> Response:
         team = request.query_params.get('team', '')
-        answer = await self._shell.report(f'jobs:{team}')
+        report = await self._shell.report(f'jobs:{team}')
         jobs = [
             job
-            for body in answer.bodies
+            for body in report.bodies
             for job in decode(body, list[JobStatus])
         ]
         jobs.sort(key=lambda job: job.spec.job_id)
-        return make_json({'jobs': jobs, 'missing': answer.missing})
+        return make_json({'jobs': jobs, 'missing': report.missing})
 
 
 def _render_outcome(request_id: str, outcome: RequestOutcome) -> Response:
@@ -251,11 +252,11 @@
             outcome.body,
             outcome.code,
         )
-        return make_json(answer, _STATUSES[outcome.kind])
-    status = _STATUSES[outcome.kind]
+        return make_json(answer, _OUTCOME_STATUSES[outcome.kind])
+    status = _OUTCOME_STATUSES[outcome.kind]
     if outcome.kind is OutcomeKind.NOT_RUN:
         status = _CODE_STATUSES.get(outcome.code, status)
-    message = _MESSAGES.get(outcome.code, outcome.code.replace('_', ' '))
+    message = _CODE_MESSAGES.get(outcome.code, outcome.code.replace('_', ' '))
     body = ErrorBody(
         outcome.code or 'unknown',
         message,
@@ -265,9 +266,9 @@
     return make_json(body, status, outcome.retry_after_ms)
 
 
-def _render_reply(reply: JobReply, created: int = 200) -> Response:
+def _render_reply(reply: JobReply, ok_status: int = 200) -> Response:
     if reply.code == 'ok':
-        return make_json(reply.job, created)
+        return make_json(reply.job, ok_status)
     if reply.code == 'unknown_job':
         raise NotFoundError(
             'no such job; it may be past its retention', code='unknown_job'
@@ -276,7 +277,7 @@
     outcome = 'unknown' if reply.code == 'unknown' else 'not_run'
     body = ErrorBody(
         reply.code,
-        _MESSAGES.get(reply.code, reply.code),
+        _CODE_MESSAGES.get(reply.code, reply.code),
         outcome,
         reply.retry_after_ms,
     )
--- a/src/tulippin/http_operators.py
+++ b/src/tulippin/http_operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: bundles, jobs, workers, figures and dumps."""
+"""The operators' HTTP API: bundles, jobs, workers, metrics and dumps."""
 
 from __future__ import annotations
 
@@ -27,18 +27,19 @@
 
 
 class OperatorsApi:
-    """Answers operators by way of a shell.
+    """HTTP handlers for operators, on the shell of an instance.
 
     Parameters
     ----------
     shell : Shell
-        The instance.
+        The instance's shell.
     callers : CallersApi
-        Whose routes for jobs operators have too.
+        The callers' API, whose routes for jobs are served here too.
     metrics : ShellMetrics
-        What is served at ``/metrics``.
+        The metrics to serve at ``/metrics``.
     is_ready : callable
-        Returns the reason why the instance is not ready, or nothing.
+        Returns an empty string if the instance is ready, else the reason
+        why it is not.
     """
 
     def __init__(
@@ -76,11 +77,11 @@
     # -- views ---------------------------------------------------------------
 
     async def _list_workers(self, _: Request) -> Response:
-        answer = await self._shell.report('workers')
+        report = await self._shell.report('workers')
         cells: dict[str, t.Any] = {}
-        for body in answer.bodies:
+        for body in report.bodies:
             cells.update(decode(body, dict))
-        return make_json({'cells': cells, 'missing': answer.missing})
+        return make_json({'cells': cells, 'missing': report.missing})
 
     async def _list_instances(self, _: Request) -> Response:
         state = self._shell.state
@@ -109,9 +110,9 @@
         return make_json({'instances': rows})
 
     async def _get_comparison(self) -> Comparison:
-        answer = await self._shell.report('trial')
+        report = await self._shell.report('trial')
         return merge_reports(
-            answer.bodies, answer.missing, self._shell.state.bundle
+            report.bodies, report.missing, self._shell.state.bundle
         )
 
     async def _compare(self, _: Request) -> Response:
@@ -134,5 +135,5 @@
 
 def read_openapi() -> bytes:
     """Return the committed OpenAPI document."""
-    place = resources.files('tulippin') / 'openapi.json'
-    return place.read_bytes()
+    path = resources.files('tulippin') / 'openapi.json'
+    return path.read_bytes()
