--- a/tests/tulippin/conftest.py
+++ b/tests/tulippin/conftest.py
@@ -1,4 +1,4 @@
-"""Real daemons over stand-ins on loopback, for the tests of the APIs."""
+"""Fixtures that run real daemons on loopback against stand-in services."""
 
 import contextlib
 
@@ -13,7 +13,7 @@
 from tulippin.settings import parse_settings
 from tulippin.standins import Standins, StandinSize, render_settings
 
-MORE = """
+EXTRA_SETTINGS = """
 [peers]
 addresses = {seeds}
 [limits]
@@ -24,7 +24,7 @@
 
 @attrs.define
 class Site:
-    """Daemons, their stand-ins and a client."""
+    """Running daemons, their stand-in services and an HTTP client."""
 
     standins: Standins
     client: HttpClient
@@ -32,18 +32,20 @@
     keys: dict
     daemons: list = attrs.field(factory=list)
 
-    def make_settings(self, number, url=None, more=''):
-        seeds = [f'127.0.0.1:{one.peers_port}' for one in self.daemons]
+    def make_settings(self, number, store_url=None, extra_settings=''):
+        seeds = [f'127.0.0.1:{daemon.peers_port}' for daemon in self.daemons]
         return render_settings(
             number,
-            url or self.standins.url,
+            store_url or self.standins.url,
             {name: pair[1] for name, pair in self.keys.items()},
-            MORE.format(seeds=', '.join(seeds)) + more,
+            EXTRA_SETTINGS.format(seeds=', '.join(seeds)) + extra_settings,
         )
 
-    async def start(self, url=None, more=''):
+    async def start(self, store_url=None, extra_settings=''):
         daemon = Daemon(
-            parse_settings(self.make_settings(len(self.daemons), url, more))
+            parse_settings(
+                self.make_settings(len(self.daemons), store_url, extra_settings)
+            )
         )
         self.daemons.append(daemon)
         instance_id = daemon.settings.config.instance_id
@@ -57,8 +59,8 @@
             while any(daemon.get_unready() for daemon in self.daemons):
                 await trio.sleep(0.05)
 
-    async def wait_for(self, condition, limit_s=20):
-        with trio.fail_after(limit_s):
+    async def wait_for(self, condition, timeout_s=20):
+        with trio.fail_after(timeout_s):
             while not condition():
                 await trio.sleep(0.05)
 
@@ -66,22 +68,22 @@
         self, method, path, body=None, *, number=0, port='operators'
     ):
         daemon = self.daemons[number]
-        place = getattr(daemon, f'{port}_port')
+        port_number = getattr(daemon, f'{port}_port')
         content = body if isinstance(body, bytes) else encode(body)
-        answer = await self.client.send(
+        response = await self.client.send(
             method,
-            f'http://127.0.0.1:{place}{path}',
+            f'http://127.0.0.1:{port_number}{path}',
             b'' if body is None else content,
         )
-        kind = answer.headers.get('content-type', '')
-        if kind.startswith('application/json'):
-            return answer.status, decode(answer.body, dict)
-        return answer.status, answer.body
+        content_type = response.headers.get('content-type', '')
+        if content_type.startswith('application/json'):
+            return response.status, decode(response.body, dict)
+        return response.status, response.body
 
 
 @contextlib.asynccontextmanager
-async def open_site(count=1, size=None, more=''):
-    """Open stand-ins and a number of ready daemons."""
+async def open_site(count=1, size=None, extra_settings=''):
+    """Run stand-ins and ``count`` daemons that are ready."""
     size = size or StandinSize(cell_count=1, workers_per_cell=2)
     keys = {name: make_key() for name in ('alice', 'bob')}
     async with (
@@ -91,7 +93,7 @@
     ):
         site = Site(standins, client, nursery, keys)
         for _ in range(count):
-            await site.start(more=more)
+            await site.start(extra_settings=extra_settings)
         await site.wait_ready()
         yield site
         nursery.cancel_scope.cancel()
@@ -99,5 +101,5 @@
 
 @pytest.fixture
 def open_daemons():
-    """Return the opener of a site."""
+    """Return the function that runs daemons; see ``open_site``."""
     return open_site
--- a/tests/tulippin/test_cli.py
+++ b/tests/tulippin/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: output, exit codes, and a bundle's whole cycle."""
+"""The command line: output, exit codes and the lifecycle of a bundle."""
 
 import json
 import pathlib
@@ -50,28 +50,28 @@
     assert 'callers' in capsys.readouterr().err
 
 
-def test_settings_check_of_a_scheduler_finds_all(tmp_path, capsys):
+def test_settings_check_reports_all_findings_for_a_scheduler(tmp_path, capsys):
     path = tmp_path / 'settings.ini'
     path.write_text('[store]\nadress = x\n[listen]\ninternal_ports = 1\n')
     assert run(f'settings check {path}')[0] == 2
-    told = capsys.readouterr().err
+    error = capsys.readouterr().err
     for key in ('callers', 'readiness', 'adress', 'internal_ports', 'id'):
-        assert key in told
+        assert key in error
 
 
-def test_scheduler_show_refuses_an_unknown_view(capsys):
+def test_scheduler_show_rejects_an_unknown_view(capsys):
     assert run('scheduler show nothing')[0] == 2
     assert 'workers' in capsys.readouterr().err
 
 
-def test_unreachable_instance_has_its_exit_code(capsys):
+def test_unreachable_instance_sets_the_exit_code(capsys):
     code, _ = run('instances --url http://127.0.0.1:9')
     assert code == 5
     assert 'TULIPPIN_URL' in capsys.readouterr().err
 
 
 @pytest.mark.parametrize('arguments', [[], ['--help'], ['/nowhere.ini']])
-def test_daemon_refuses_bad_arguments(arguments, capsys):
+def test_daemon_rejects_invalid_arguments(arguments, capsys):
     assert daemon_main(arguments) == 2
     assert capsys.readouterr().err
 
@@ -97,18 +97,18 @@
             line = f'{command} --url {url} {options}'
             return await trio.to_thread.run_sync(run, line)
 
-        def signed(name):
+        def sign_as(name):
             return f'--operator {name} --private-key {tmp_path / name}'
 
         code, output = await tulippin(
-            f'bundle propose {bundle}', signed('alice')
+            f'bundle propose {bundle}', sign_as('alice')
         )
         assert (code, 'bundle 1 is proposed' in output) == (0, True)
-        assert (await tulippin('bundle approve 1', signed('alice')))[0] == 6
+        assert (await tulippin('bundle approve 1', sign_as('alice')))[0] == 6
         assert 'same_operator' in capsys.readouterr().err
-        assert (await tulippin('bundle roll 1', signed('alice')))[0] == 3
-        assert (await tulippin('bundle approve 1', signed('bob')))[0] == 0
-        assert (await tulippin('bundle roll 1', signed('alice')))[0] == 0
+        assert (await tulippin('bundle roll 1', sign_as('alice')))[0] == 3
+        assert (await tulippin('bundle approve 1', sign_as('bob')))[0] == 0
+        assert (await tulippin('bundle roll 1', sign_as('alice')))[0] == 0
         code, output = await tulippin('bundle list', '--output json')
         listed = json.loads(output)['bundles']
         assert listed[0]['state'] in {'rolling', 'in_force'}
--- a/tests/tulippin/test_http.py
+++ b/tests/tulippin/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP APIs of a real daemon: answers, refusals and bad input."""
+"""HTTP APIs of a real daemon: responses, rejections and invalid input."""
 
 import importlib.resources
 
@@ -27,7 +27,7 @@
 
 
 def check_schema(method, path, status, body):
-    """Hold a response against the OpenAPI document."""
+    """Validate a response against the OpenAPI document."""
     operation = DOCUMENT['paths'][path][method]
     response = operation['responses'][str(status)]
     schema = response['content']['application/json']['schema']
@@ -38,7 +38,7 @@
 async def start_service(site):
     status, _ = await site.call('POST', '/v1/jobs', SERVICE)
     assert status == 201
-    cells = [one.shell.state.cells for one in site.daemons]
+    cells = [daemon.shell.state.cells for daemon in site.daemons]
     await site.wait_for(
         lambda: any(
             len(cell.endpoints.get('alerts', ())) == 2
@@ -46,24 +46,26 @@
             for cell in owned.values()
         )
     )
-    # Peers learn of it by gossip, later on a busy machine.
+    # Peers learn of the service by gossip, which may take a while.
     await site.wait_for(
-        lambda: all(knows_service(one.shell.state) for one in site.daemons)
+        lambda: all(
+            knows_service(daemon.shell.state) for daemon in site.daemons
+        )
     )
 
 
 def knows_service(state):
-    """Tell whether an instance knows of a task that serves."""
-    told = (
+    """Return whether an instance knows an endpoint of the service."""
+    reported = (
         summary.services
         for peer in state.peers.values()
         for summary in peer.summaries.values()
     )
     own = (cell.endpoints for cell in state.cells.values())
-    return any('alerts' in services for services in (*told, *own))
+    return any('alerts' in services for services in (*reported, *own))
 
 
-async def ask(site, body, **options):
+async def call_service(site, body, **options):
     return await site.call(
         'POST', '/v1/services/alerts', body, port='callers', **options
     )
@@ -73,17 +75,17 @@
     return {'request_id': request_id, 'team': 'team', 'body': 'x', **details}
 
 
-async def test_request_and_its_repetition(open_daemons):
+async def test_repeated_request_is_replayed(open_daemons):
     async with open_daemons() as site:
         await start_service(site)
-        status, answer = await ask(site, make_call())
+        status, answer = await call_service(site, make_call())
         assert status == 200
         assert answer['body'] == 'alerts:r1:x'
         check_schema('post', '/v1/services/{service}', status, answer)
-        status, again = await ask(site, make_call())
+        status, again = await call_service(site, make_call())
         assert (status, again['code']) == (200, 'replayed')
         assert again['body'] == answer['body']
-        status, other = await ask(site, make_call(body='y'))
+        status, other = await call_service(site, make_call(body='y'))
         assert (status, other['code']) == (409, 'id_reused')
         assert other['outcome'] == 'not_run'
         check_schema('post', '/v1/services/{service}', status, other)
@@ -105,14 +107,14 @@
         (make_call(timeout_ms=300), 503, 'no_endpoint'),
     ],
 )
-async def test_bad_requests_are_refused_as_not_run(
+async def test_invalid_requests_are_rejected_as_not_run(
     open_daemons, body, status, code
 ):
     async with open_daemons() as site:
-        got, answer = await ask(site, body)
-        assert (got, answer['code']) == (status, code)
+        actual_status, answer = await call_service(site, body)
+        assert (actual_status, answer['code']) == (status, code)
         assert answer['outcome'] == 'not_run'
-        check_schema('post', '/v1/services/{service}', got, answer)
+        check_schema('post', '/v1/services/{service}', actual_status, answer)
 
 
 @pytest.mark.parametrize(
@@ -123,13 +125,13 @@
         {'timeout_ms': 300},
     ],
 )
-async def test_refusal_for_want_of_time_says_when_to_come_back(
+async def test_rejection_for_its_deadline_has_a_retry_delay(
     open_daemons, details
 ):
-    """A deadline that is over was answered with "never"."""
+    """An expired deadline must give a retry delay, not 0 ("never")."""
     async with open_daemons() as site:
-        got, answer = await ask(site, make_call(**details))
-        assert (got, answer['outcome']) == (503, 'not_run')
+        actual_status, answer = await call_service(site, make_call(**details))
+        assert (actual_status, answer['outcome']) == (503, 'not_run')
         assert answer['retry_after_ms'] > 0
 
 
@@ -143,12 +145,16 @@
         other = {**BATCH, 'task_count': 4}
         status, answer = await site.call('POST', '/v1/jobs', other)
         assert (status, answer['code']) == (409, 'job_id_reused')
-        huge = {**BATCH, 'job_id': 'huge', 'size': {'memory_mb': 10**8}}
-        status, answer = await site.call('POST', '/v1/jobs', huge)
+        oversized = {
+            **BATCH,
+            'job_id': 'huge',
+            'size': {'memory_mb': 10**8},
+        }
+        status, answer = await site.call('POST', '/v1/jobs', oversized)
         assert (status, answer['code']) == (422, 'never_fits')
         check_schema('post', '/v1/jobs', status, answer)
-        wrong = {**BATCH, 'task_count': 0, 'priority': -1, 'run_ms': 0}
-        status, answer = await site.call('POST', '/v1/jobs', wrong)
+        invalid = {**BATCH, 'task_count': 0, 'priority': -1, 'run_ms': 0}
+        status, answer = await site.call('POST', '/v1/jobs', invalid)
         assert status == 400
         assert len(answer['findings']) == 3
         status, answer = await site.call('GET', '/v1/jobs/nothing')
@@ -170,7 +176,9 @@
         slow = {**BATCH, 'run_ms': 60000}
         await site.call('POST', '/v1/jobs', slow)
         await site.wait_for(
-            lambda: any(one.runs for one in site.standins.workers.values())
+            lambda: any(
+                worker.runs for worker in site.standins.workers.values()
+            )
         )
         await site.call('DELETE', '/v1/jobs/batch')
         with trio.fail_after(20):
@@ -182,24 +190,30 @@
         assert job['state'] == 'cancelled'
 
 
-async def sign_step(site, operator, action, number, digest, **more):
+async def sign_action(site, operator, action, number, digest, **extra_fields):
     signature = sign(site.keys[operator][0], operator, action, number, digest)
-    return {'operator': operator, 'signature': signature.signature, **more}
+    return {
+        'operator': operator,
+        'signature': signature.signature,
+        **extra_fields,
+    }
 
 
-async def test_bundle_cycle_and_its_refusals(open_daemons):
+async def test_bundle_lifecycle_and_rejections(open_daemons):
     digest = compute_digest(BUNDLE)
     async with open_daemons(count=2) as site:
 
-        async def step(operator, action, number=1, signed=None):
-            body = await sign_step(
+        async def change_bundle(operator, action, number=1, signed=None):
+            body = await sign_action(
                 site, operator, signed or action, number, digest
             )
             return await site.call(
                 'POST', f'/v1/bundles/{number}/{action}', body, number=1
             )
 
-        body = await sign_step(site, 'alice', 'propose', 0, digest, text=BUNDLE)
+        body = await sign_action(
+            site, 'alice', 'propose', 0, digest, text=BUNDLE
+        )
         status, row = await site.call('POST', '/v1/bundles', body)
         assert (status, row['state']) == (201, 'proposed')
         check_schema('post', '/v1/bundles', status, row)
@@ -207,20 +221,20 @@
         status, answer = await site.call('POST', '/v1/bundles', bad)
         assert (status, answer['code']) == (400, 'bad_bundle')
         assert len(answer['findings']) == 2
-        status, answer = await step('alice', 'approve')
+        status, answer = await change_bundle('alice', 'approve')
         assert (status, answer['code']) == (403, 'same_operator')
-        status, answer = await step('bob', 'approve', signed='roll')
+        status, answer = await change_bundle('bob', 'approve', signed='roll')
         assert (status, answer['code']) == (403, 'bad_signature')
-        status, answer = await step('alice', 'roll')
+        status, answer = await change_bundle('alice', 'roll')
         assert (status, answer['code']) == (409, 'wrong_state')
-        assert (await step('bob', 'approve'))[0] == 200
-        assert (await step('alice', 'roll'))[0] == 200
+        assert (await change_bundle('bob', 'approve'))[0] == 200
+        assert (await change_bundle('alice', 'roll'))[0] == 200
         await site.wait_for(
             lambda: all(
-                one.shell.state.bundle_number == 1 for one in site.daemons
+                daemon.shell.state.bundle_number == 1 for daemon in site.daemons
             )
         )
-        status, answer = await step('bob', 'retire')
+        status, answer = await change_bundle('bob', 'retire')
         assert (status, answer['code']) == (409, 'in_force')
         status, answer = await site.call('GET', '/v1/bundles/9')
         assert (status, answer['code']) == (404, 'unknown_bundle')
@@ -230,7 +244,7 @@
                 _, row = await site.call('GET', '/v1/bundles/1')
 
 
-async def test_newcomer_without_the_store_takes_the_bundle_from_a_peer(
+async def test_new_instance_without_the_store_gets_the_bundle_from_a_peer(
     open_daemons,
 ):
     digest = compute_digest(BUNDLE)
@@ -240,9 +254,9 @@
             ('bob', 'approve', 1),
             ('alice', 'roll', 1),
         ):
-            more = {'text': BUNDLE} if action == 'propose' else {}
-            body = await sign_step(
-                site, operator, action, number, digest, **more
+            extra_fields = {'text': BUNDLE} if action == 'propose' else {}
+            body = await sign_action(
+                site, operator, action, number, digest, **extra_fields
             )
             path = f'/{number}/{action}' if number else ''
             status, _ = await site.call('POST', f'/v1/bundles{path}', body)
@@ -250,8 +264,8 @@
         await site.wait_for(
             lambda: site.daemons[0].shell.state.bundle_number == 1
         )
-        newcomer = await site.start('http://127.0.0.1:9')
-        await site.wait_for(lambda: newcomer.shell.state.bundle_number == 1)
+        new_instance = await site.start('http://127.0.0.1:9')
+        await site.wait_for(lambda: new_instance.shell.state.bundle_number == 1)
         status, answer = await site.call('GET', '/readyz', number=1)
         assert status == 503
         assert 'table' in answer['status']
@@ -261,7 +275,7 @@
     async with open_daemons(count=2) as site:
         await start_service(site)
         for number in range(20):
-            await ask(site, make_call(f'r{number}'))
+            await call_service(site, make_call(f'r{number}'))
         for path in ('/v1/instances', '/v1/workers', '/v1/compare'):
             status, body = await site.call('GET', path)
             assert status == 200
@@ -279,7 +293,7 @@
         assert (status, body['code']) == (404, 'no_such_path')
 
 
-async def test_planned_stop_answers_what_is_in_progress(open_daemons):
+async def test_planned_stop_completes_requests_in_progress(open_daemons):
     async with open_daemons(count=2) as site:
         await start_service(site)
         for worker in site.standins.workers.values():
@@ -287,7 +301,9 @@
         outcomes = []
 
         async def call(number):
-            status, _ = await ask(site, make_call(f'r{number}'), number=0)
+            status, _ = await call_service(
+                site, make_call(f'r{number}'), number=0
+            )
             outcomes.append(status)
 
         async with trio.open_nursery() as nursery:
@@ -303,7 +319,9 @@
         )
 
 
-async def test_store_outage_refuses_what_must_last(open_daemons):
+async def test_store_outage_rejects_jobs_but_not_repeatable_requests(
+    open_daemons,
+):
     async with open_daemons() as site:
         await start_service(site)
         site.standins.table.faults.down = True
@@ -314,7 +332,7 @@
         assert (status, answer['code']) == (503, 'store_unavailable')
         assert answer['outcome'] == 'not_run'
         assert answer['retry_after_ms'] > 0
-        status, _ = await ask(site, make_call('r2', repeatable=True))
+        status, _ = await call_service(site, make_call('r2', repeatable=True))
         assert status == 200
         site.standins.table.faults.down = False
 
@@ -327,19 +345,19 @@
         await trio.sleep(3)
         before = site.standins.workers[worker_id].busy_slots
         for number in range(10):
-            await ask(site, make_call(f'q{number}', repeatable=True))
-        ran = [
+            await call_service(site, make_call(f'q{number}', repeatable=True))
+        worker_ids = [
             entry.details['worker_id']
             for entry in site.standins.history.iter_kind('request_ran')
         ]
-        assert worker_id not in ran[-10:]
+        assert worker_id not in worker_ids[-10:]
         assert before == 0
 
 
 def test_committed_document_is_current():
-    place = importlib.resources.files('tulippin') / 'openapi.json'
-    assert place.read_bytes() == render_document()
-    validate(decode(place.read_bytes(), dict))
+    path = importlib.resources.files('tulippin') / 'openapi.json'
+    assert path.read_bytes() == render_document()
+    validate(decode(path.read_bytes(), dict))
 
 
 async def test_every_documented_path_is_served(open_daemons):
--- a/tests/tulippin/test_http_server.py
+++ b/tests/tulippin/test_http_server.py
@@ -1,8 +1,7 @@
-"""What callers and logs are told when an application's own code fails.
+"""Responses and log lines for unexpected errors of an application.
 
-The story: a handler raised at an input that nobody had thought of. Callers
-saw 500 with an empty body, again and again, and no line told why: the server
-below the applications logs nowhere, so that the error was gone.
+Guards against lost errors: the logs of hypercorn are switched off, so that an
+exception in a handler gave callers a 500 with an empty body and no log line.
 """
 
 import contextlib
@@ -31,7 +30,7 @@
     raise ZeroDivisionError('planted')
 
 
-async def fail_half_way(scope, receive, send):
+async def fail_after_first_chunk(scope, receive, send):
     if scope['type'] != 'http':
         raise NotImplementedError(scope['type'])
     await send(START)
@@ -49,7 +48,7 @@
         raise ZeroDivisionError('planted')
 
 
-async def answer_with_a_faulty_header(scope, receive, send):
+async def send_invalid_header(scope, receive, send):
     if scope['type'] != 'http':
         raise NotImplementedError(scope['type'])
     await send({**START, 'headers': [(b'x', b'a\r\nb')]})
@@ -66,111 +65,113 @@
 
 
 def list_failures(handler):
-    return [one for one in handler.records if one.message == 'call failed']
+    return [
+        record for record in handler.records if record.message == 'call failed'
+    ]
 
 
 @pytest.mark.plants_errors
 @pytest.mark.parametrize('app', [fail_at_once, fail_beside_a_cancelled_task])
-async def test_error_is_told_once_and_answered_as_unknown(app):
+async def test_error_is_logged_once_and_outcome_is_unknown(app):
     async with serve(app) as (client, url, handler):
-        answer = await client.send('POST', f'{url}/q/00112233445566aa', b'{}')
-    assert answer.status == 500
-    assert answer.headers['content-type'] == 'application/json'
-    body = json.loads(answer.body)
-    # What raised may have done its work before.
+        response = await client.send('POST', f'{url}/q/00112233445566aa', b'{}')
+    assert response.status == 500
+    assert response.headers['content-type'] == 'application/json'
+    body = json.loads(response.body)
+    # The handler may have done its work before it raised.
     assert (body['code'], body['outcome']) == ('internal', 'unknown')
-    (told,) = list_failures(handler)
-    assert told.kwargs['method'] == 'POST'
-    assert told.kwargs['path'] == '/q/00112233445566aa'
-    assert told.kwargs['id'] == '00112233445566aa'
-    assert told.kwargs['cause'] == "ZeroDivisionError('planted')"
-    assert told.kwargs['place'].endswith(app.__name__)
+    (record,) = list_failures(handler)
+    assert record.kwargs['method'] == 'POST'
+    assert record.kwargs['path'] == '/q/00112233445566aa'
+    assert record.kwargs['id'] == '00112233445566aa'
+    assert record.kwargs['cause'] == "ZeroDivisionError('planted')"
+    assert record.kwargs['place'].endswith(app.__name__)
 
 
 @pytest.mark.plants_errors
-async def test_answer_that_has_begun_is_not_completed():
-    async with serve(fail_half_way) as (client, url, handler):
+async def test_started_response_is_not_completed():
+    async with serve(fail_after_first_chunk) as (client, url, handler):
         with pytest.raises(AnswerLostError):
             await client.send('GET', f'{url}/x')
     assert len(list_failures(handler)) == 1
 
 
 @pytest.mark.plants_errors
-async def test_answer_that_the_server_refuses_is_a_complete_error():
-    async with serve(answer_with_a_faulty_header) as (client, url, handler):
-        answer = await client.send('GET', f'{url}/x')
-    assert answer.status == 500
-    assert json.loads(answer.body)['code'] == 'internal'
+async def test_response_with_an_invalid_header_becomes_an_error_response():
+    async with serve(send_invalid_header) as (client, url, handler):
+        response = await client.send('GET', f'{url}/x')
+    assert response.status == 500
+    assert json.loads(response.body)['code'] == 'internal'
     assert len(list_failures(handler)) == 1
 
 
 @pytest.mark.plants_errors
-async def test_error_behind_routes_is_told_once():
+async def test_error_in_a_route_is_logged_once():
     async def fail(request):
         raise ZeroDivisionError('planted')
 
     app = make_app([Route('/x', fail)])
     async with serve(app) as (client, url, handler):
-        answer = await client.send('GET', f'{url}/x')
-        # The routes answer first and raise the error on.
+        response = await client.send('GET', f'{url}/x')
+        # Starlette responds before it raises the error again.
         with trio.fail_after(2):
             while not list_failures(handler):
                 await trio.sleep(0.01)
-    assert answer.status == 500
-    assert json.loads(answer.body)['outcome'] == 'unknown'
-    (told,) = list_failures(handler)
-    assert told.kwargs['place'].endswith('fail')
+    assert response.status == 500
+    assert json.loads(response.body)['outcome'] == 'unknown'
+    (record,) = list_failures(handler)
+    assert record.kwargs['place'].endswith('fail')
 
 
 @pytest.mark.plants_errors
-async def test_error_of_the_family_without_a_status_is_a_fault_of_ours():
+async def test_tulippin_error_without_a_status_is_an_internal_error():
     async def fail(request):
         raise FencedError('planted')
 
     app = make_app([Route('/x', fail)])
     async with serve(app) as (client, url, handler):
-        answer = await client.send('GET', f'{url}/x')
+        response = await client.send('GET', f'{url}/x')
         with trio.fail_after(2):
             while not list_failures(handler):
                 await trio.sleep(0.01)
-    assert answer.status == 500
-    # Nothing says that it was raised before any work was done.
-    assert json.loads(answer.body)['outcome'] == 'unknown'
-    (told,) = list_failures(handler)
-    assert told.kwargs['cause'] == "FencedError('planted')"
+    assert response.status == 500
+    # The error may have been raised after some work was done.
+    assert json.loads(response.body)['outcome'] == 'unknown'
+    (record,) = list_failures(handler)
+    assert record.kwargs['cause'] == "FencedError('planted')"
 
 
 @pytest.mark.plants_errors
-async def test_connection_is_served_on_after_an_error():
+async def test_server_responds_after_an_error():
     async def fail_first(scope, receive, send):
         if scope['path'] == '/bad':
             raise ZeroDivisionError('planted')
         await app(scope, receive, send)
 
-    async def answer(request):
+    async def respond(request):
         return make_json({'fine': True})
 
-    app = make_app([Route('/good', answer)])
+    app = make_app([Route('/good', respond)])
     async with serve(fail_first) as (client, url, _):
         for path, status in (('bad', 500), ('good', 200), ('bad', 500)):
-            found = await client.send('GET', f'{url}/{path}')
-            assert found.status == status
+            response = await client.send('GET', f'{url}/{path}')
+            assert response.status == status
 
 
 @pytest.mark.plants_errors
-async def test_long_path_is_told_in_part():
+async def test_long_path_is_truncated_in_the_log():
     async with serve(fail_at_once) as (client, url, handler):
         await client.send('GET', f'{url}/{"x" * 5000}')
-    (told,) = list_failures(handler)
-    assert len(told.kwargs['path']) <= 200
-    assert len(told.kwargs['id']) <= 64
+    (record,) = list_failures(handler)
+    assert len(record.kwargs['path']) <= 200
+    assert len(record.kwargs['id']) <= 64
 
 
-async def test_caller_that_leaves_is_no_fault_of_ours():
-    async def take(request):
+async def test_client_disconnect_is_not_logged_as_a_failure():
+    async def read(request):
         return make_json(await read_json(request, dict, 1000))
 
-    app = make_app([Route('/x', take, methods=['POST'])])
+    app = make_app([Route('/x', read, methods=['POST'])])
     async with serve(app) as (_, url, handler):
         port = int(url.rpartition(':')[2])
         stream = await trio.open_tcp_stream('127.0.0.1', port)
--- a/tests/tulippin/test_processes.py
+++ b/tests/tulippin/test_processes.py
@@ -1,4 +1,8 @@
-"""Separate processes on loopback: load, a bundle, kills and freezes."""
+"""Daemons in separate processes under load.
+
+The scenarios roll out a bundle, kill and suspend processes, and restart
+them one after another. The recorded history is checked in each of them.
+"""
 
 import collections
 import json
@@ -17,7 +21,7 @@
 from tulippin.history import check_history
 from tulippin.standins import Standins, StandinSize, render_settings
 
-MORE = """
+EXTRA_SETTINGS = """
 [limits]
 balancer_grace_ms = 300
 [log]
@@ -54,7 +58,7 @@
 
 @attrs.define
 class Process:
-    """One daemon's process and the ports that it said it listens on."""
+    """The process of one daemon and the ports that it logged."""
 
     name: str
     handle: trio.Process
@@ -63,26 +67,26 @@
 
 
 @attrs.define
-class Bench:
-    """Three processes, stand-ins and callers."""
+class ProcessFleet:
+    """Daemon processes, their stand-in services and callers."""
 
     standins: Standins
     client: HttpClient
     nursery: trio.Nursery
-    folder: object
+    directory: object
     keys: dict
     processes: list = attrs.field(factory=list)
     outcomes: collections.Counter = attrs.field(factory=collections.Counter)
     stopping: set = attrs.field(factory=set)
 
     async def start(self, number):
-        path = self.folder / f'{number}.ini'
+        path = self.directory / f'{number}.ini'
         path.write_text(
             render_settings(
                 number,
                 self.standins.url,
                 {name: pair[1] for name, pair in self.keys.items()},
-                MORE,
+                EXTRA_SETTINGS,
             )
         )
         handle = await trio.lowlevel.open_process(
@@ -92,9 +96,9 @@
         line = b''
         while b'listening' not in line:
             line += await handle.stderr.receive_some()
-        words = json.loads(line.splitlines()[-1])
+        ports = json.loads(line.splitlines()[-1])
         name = f'instance-{number}#{len(self.processes)}'
-        process = Process(name, handle, words)
+        process = Process(name, handle, ports)
         self.processes.append(process)
         self.nursery.start_soon(drain, handle.stderr)
         self.standins.directory.instances.add(f'instance-{number}')
@@ -104,9 +108,10 @@
 
     def iter_live(self):
         return [
-            one
-            for one in self.processes
-            if one.handle.poll() is None and one.name not in self.stopping
+            process
+            for process in self.processes
+            if process.handle.poll() is None
+            and process.name not in self.stopping
         ]
 
     async def send(self, process, method, path, body=None, port='callers'):
@@ -124,7 +129,7 @@
                     await trio.sleep(0.1)
 
     async def call(self, number):
-        """Send one request by some live process and note its outcome."""
+        """Send a request to a live process and record its outcome."""
         history = self.standins.history
         request_id = f'request-{number}'
         repeatable = number % 3 != 0
@@ -160,8 +165,8 @@
             expected=f'alerts:{request_id}:x',
         )
 
-    async def call_many(self, first, count, at_once=8):
-        limiter = trio.CapacityLimiter(at_once)
+    async def call_many(self, first, count, max_concurrent=8):
+        limiter = trio.CapacityLimiter(max_concurrent)
 
         async def call(number):
             async with limiter:
@@ -177,17 +182,17 @@
         )
         assert status == 201
 
-    async def wait_done(self, job_id, count, limit_s=60):
-        done = -1
-        with trio.fail_after(limit_s):
-            while done != count:
+    async def wait_done(self, job_id, count, timeout_s=60):
+        done_count = -1
+        with trio.fail_after(timeout_s):
+            while done_count != count:
                 await trio.sleep(0.3)
                 _, job = await self.send(
                     self.iter_live()[0], 'GET', f'/v1/jobs/{job_id}'
                 )
-                done = job.get('done_count', done)
+                done_count = job.get('done_count', done_count)
 
-    async def roll(self):
+    async def roll_bundle(self):
         digest = compute_digest(BUNDLE)
         for path, name, action, number in (
             ('', 'alice', 'propose', 0),
@@ -209,12 +214,12 @@
         self.standins.history.note('bundle_accepted', number=1)
         with trio.fail_after(30):
             for process in self.iter_live():
-                held = 0
-                while held != 1:
+                bundle_number = 0
+                while bundle_number != 1:
                     _, dump = await self.send(
                         process, 'GET', '/v1/dump', port='operators'
                     )
-                    held = dump['bundle']['number']
+                    bundle_number = dump['bundle']['number']
                     await trio.sleep(0.1)
                 self.standins.history.note(
                     'bundle_taken', process=process.name, number=1
@@ -223,8 +228,8 @@
     def check(self):
         for worker in self.standins.workers.values():
             worker.advance()
-        found = check_history(self.standins.history)
-        assert not [violation.render() for violation in found]
+        violations = check_history(self.standins.history)
+        assert not [violation.render() for violation in violations]
 
 
 async def drain(stream):
@@ -232,7 +237,7 @@
         pass
 
 
-async def run_bench(folder, scenario):
+async def run_scenario(directory, scenario):
     keys = {name: make_key() for name in ('alice', 'bob')}
     size = StandinSize(cell_count=3, workers_per_cell=2)
     async with (
@@ -240,23 +245,23 @@
         HttpClient(60) as client,
         trio.open_nursery() as nursery,
     ):
-        bench = Bench(standins, client, nursery, folder, keys)
+        fleet = ProcessFleet(standins, client, nursery, directory, keys)
         try:
             for number in range(3):
-                await bench.start(number)
-            await bench.wait_ready()
-            await bench.submit(SERVICE)
+                await fleet.start(number)
+            await fleet.wait_ready()
+            await fleet.submit(SERVICE)
             await trio.sleep(2)
-            await scenario(bench)
-            bench.check()
+            await scenario(fleet)
+            fleet.check()
         finally:
-            for process in bench.processes:
+            for process in fleet.processes:
                 process.handle.kill()
             nursery.cancel_scope.cancel()
 
 
-async def serve_while_a_bundle_is_rolled(bench):
-    await bench.submit(
+async def roll_bundle_under_load(fleet):
+    await fleet.submit(
         {
             'job_id': 'batch',
             'team': 'team',
@@ -266,58 +271,58 @@
         }
     )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(bench.call_many, 0, 1000)
-        nursery.start_soon(bench.roll)
-    await bench.wait_done('batch', 200)
-    assert bench.outcomes == {'answered': 1000}
+        nursery.start_soon(fleet.call_many, 0, 1000)
+        nursery.start_soon(fleet.roll_bundle)
+    await fleet.wait_done('batch', 200)
+    assert fleet.outcomes == {'answered': 1000}
 
 
-async def kill_and_freeze(bench):
-    await bench.submit(
+async def kill_and_suspend(fleet):
+    await fleet.submit(
         {'job_id': 'batch', 'team': 'team', 'task_count': 40, 'run_ms': 2000}
     )
-    killed, frozen, _ = bench.processes
+    killed, suspended, _ = fleet.processes
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(bench.call_many, 0, 300)
+        nursery.start_soon(fleet.call_many, 0, 300)
         await trio.sleep(0.7)
         killed.handle.kill()
         await trio.sleep(6)
-        await bench.start(0)
-    bench.stopping.add(frozen.name)
-    frozen.handle.send_signal(signal.SIGSTOP)
-    await bench.call_many(1000, 100)
+        await fleet.start(0)
+    fleet.stopping.add(suspended.name)
+    suspended.handle.send_signal(signal.SIGSTOP)
+    await fleet.call_many(1000, 100)
     await trio.sleep(5)
-    frozen.handle.send_signal(signal.SIGCONT)
-    await bench.call_many(2000, 100)
-    await bench.wait_done('batch', 40)
-    assert bench.outcomes['answered'] > 400
+    suspended.handle.send_signal(signal.SIGCONT)
+    await fleet.call_many(2000, 100)
+    await fleet.wait_done('batch', 40)
+    assert fleet.outcomes['answered'] > 400
 
 
-async def stop_one_after_another(bench):
+async def rolling_restart(fleet):
     async def replace():
         for number in range(3):
-            old = bench.processes[number]
-            bench.standins.history.note('stop_began', instance_id=old.name)
+            old = fleet.processes[number]
+            fleet.standins.history.note('stop_began', instance_id=old.name)
             old.handle.send_signal(signal.SIGTERM)
             await trio.sleep(0.2)
-            bench.stopping.add(old.name)
+            fleet.stopping.add(old.name)
             with trio.fail_after(40):
                 assert await old.handle.wait() == 0
-            await bench.start(number)
-            await bench.wait_ready()
+            await fleet.start(number)
+            await fleet.wait_ready()
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(replace)
         for batch in range(10):
-            await bench.call_many(batch * 100, 40, 4)
+            await fleet.call_many(batch * 100, 40, 4)
             await trio.sleep(0.5)
-    assert set(bench.outcomes) <= {'answered', 'not_run'}
-    assert bench.outcomes['answered'] > 300
+    assert set(fleet.outcomes) <= {'answered', 'not_run'}
+    assert fleet.outcomes['answered'] > 300
 
 
 @pytest.mark.parametrize(
     'scenario',
-    [serve_while_a_bundle_is_rolled, kill_and_freeze, stop_one_after_another],
+    [roll_bundle_under_load, kill_and_suspend, rolling_restart],
 )
 async def test_three_processes(tmp_path, scenario):
-    await run_bench(tmp_path, scenario)
+    await run_scenario(tmp_path, scenario)
--- a/tests/tulippin/test_tls.py
+++ b/tests/tulippin/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on the operators' listener and between peers, by settings."""
+"""TLS on the operators' listener and between peers."""
 
 import pytest
 import trio
@@ -7,56 +7,62 @@
 from tulippin.client import ApiClient, make_tls_context
 from tulippin.exceptions import UnavailableError
 
-SECTION = """
+TLS_SETTINGS = """
 [tls]
-operators_certificate = {folder}/server.pem
-operators_key = {folder}/server.key
-operators_authority = {folder}/authority.pem
-peers_certificate = {folder}/server.pem
-peers_key = {folder}/server.key
-peers_authority = {folder}/authority.pem
+operators_certificate = {directory}/server.pem
+operators_key = {directory}/server.key
+operators_authority = {directory}/authority.pem
+peers_certificate = {directory}/server.pem
+peers_key = {directory}/server.key
+peers_authority = {directory}/authority.pem
 """
 
 
-def write_pair(folder, name, pair):
+def write_certificate(directory, name, pair):
     certificate, key = to_pem(*pair)
-    (folder / f'{name}.pem').write_bytes(certificate)
-    (folder / f'{name}.key').write_bytes(key)
+    (directory / f'{name}.pem').write_bytes(certificate)
+    (directory / f'{name}.key').write_bytes(key)
 
 
 @pytest.fixture
-def folder(tmp_path):
+def directory(tmp_path):
     authority = make_certificate()
-    write_pair(tmp_path, 'authority', authority)
-    write_pair(tmp_path, 'server', make_certificate(authority))
-    write_pair(tmp_path, 'operator', make_certificate(authority))
-    write_pair(tmp_path, 'stranger', make_certificate(make_certificate()))
+    write_certificate(tmp_path, 'authority', authority)
+    write_certificate(tmp_path, 'server', make_certificate(authority))
+    write_certificate(tmp_path, 'operator', make_certificate(authority))
+    write_certificate(
+        tmp_path, 'untrusted', make_certificate(make_certificate())
+    )
     return tmp_path
 
 
-def fetch(folder, port, name):
-    certificate = f'{folder}/{name}.pem' if name else ''
+def list_instances(directory, port, name):
+    certificate = f'{directory}/{name}.pem' if name else ''
     context = make_tls_context(
-        f'{folder}/authority.pem', certificate, f'{folder}/{name}.key'
+        f'{directory}/authority.pem', certificate, f'{directory}/{name}.key'
     )
     with ApiClient(f'https://127.0.0.1:{port}', context) as client:
         return client.send('GET', '/v1/instances')['instances']
 
 
-async def test_operators_prove_themselves(open_daemons, folder):
-    section = SECTION.format(folder=folder)
-    async with open_daemons(count=2, more=section) as site:
+async def test_tls_rejects_untrusted_operators_and_connects_peers(
+    open_daemons, directory
+):
+    tls_settings = TLS_SETTINGS.format(directory=directory)
+    async with open_daemons(count=2, extra_settings=tls_settings) as site:
         port = site.daemons[0].operators_port
         with trio.fail_after(20):
-            found = []
-            while len(found) < 2:
+            instances = []
+            while len(instances) < 2:
                 await trio.sleep(0.2)
-                found = await trio.to_thread.run_sync(
-                    fetch, folder, port, 'operator'
+                instances = await trio.to_thread.run_sync(
+                    list_instances, directory, port, 'operator'
                 )
-        for name in ('', 'stranger'):
+        for name in ('', 'untrusted'):
             with pytest.raises(UnavailableError):
-                await trio.to_thread.run_sync(fetch, folder, port, name)
+                await trio.to_thread.run_sync(
+                    list_instances, directory, port, name
+                )
         await site.wait_for(
             lambda: any(
                 peer.summaries
