--- a/src/tulippin/_http_app.py
+++ b/src/tulippin/_http_app.py
@@ -59,7 +59,7 @@
     return _STATUS_INTERNAL
 
 
-def make_error(error: TulippinError) -> Response:
+def make_error_response(error: TulippinError) -> Response:
     """Return the JSON error response for a ``TulippinError``."""
     status = _get_status(error)
     if error.code == 'too_large':
@@ -118,7 +118,7 @@
             # Not a rejection of the request: the server logs the error and
             # responds as to any internal error.
             raise error
-        return make_error(error)
+        return make_error_response(error)
     if isinstance(error, HTTPException):
         code = {404: 'no_such_path', 405: 'no_such_method'}.get(
             error.status_code, 'http_error'
@@ -144,12 +144,12 @@
     )
 
 
-def make_health_routes(is_ready: t.Callable[[], str]) -> list[Route]:
+def make_health_routes(get_unready_reason: t.Callable[[], str]) -> list[Route]:
     """Return the liveness and readiness routes for load balancers.
 
     Parameters
     ----------
-    is_ready : callable
+    get_unready_reason : callable
         Returns an empty string if the instance is ready, else the reason
         why it is not.
     """
@@ -158,7 +158,7 @@
         return JSONResponse({'status': 'alive'})
 
     async def get_ready(_: Request) -> Response:
-        reason = is_ready()
+        reason = get_unready_reason()
         if reason:
             return JSONResponse({'status': reason}, 503)
         return JSONResponse({'status': 'ready'})
--- a/src/tulippin/http_callers.py
+++ b/src/tulippin/http_callers.py
@@ -79,7 +79,7 @@
         The instance's shell.
     limits : LimitSettings
         Limits on the size and duration of requests.
-    is_ready : callable
+    get_unready_reason : callable
         Returns an empty string if the instance is ready, else the reason
         why it is not.
     """
@@ -88,11 +88,11 @@
         self,
         shell: Shell,
         limits: LimitSettings,
-        is_ready: t.Callable[[], str],
+        get_unready_reason: t.Callable[[], str],
     ) -> None:
         self._shell = shell
         self._limits = limits
-        self._is_ready = is_ready
+        self._get_unready_reason = get_unready_reason
 
     def make_app(self) -> Starlette:
         """Return the application for the callers' listener."""
@@ -104,7 +104,7 @@
                     methods=['POST'],
                 ),
                 *self.make_job_routes(),
-                *make_health_routes(self._is_ready),
+                *make_health_routes(self._get_unready_reason),
             ]
         )
 
--- a/src/tulippin/http_operators.py
+++ b/src/tulippin/http_operators.py
@@ -37,7 +37,7 @@
         The callers' API, whose routes for jobs are served here too.
     metrics : ShellMetrics
         The metrics to serve at ``/metrics``.
-    is_ready : callable
+    get_unready_reason : callable
         Returns an empty string if the instance is ready, else the reason
         why it is not.
     """
@@ -47,12 +47,12 @@
         shell: Shell,
         callers: CallersApi,
         metrics: ShellMetrics,
-        is_ready: t.Callable[[], str],
+        get_unready_reason: t.Callable[[], str],
     ) -> None:
         self._shell = shell
         self._callers = callers
         self._metrics = metrics
-        self._is_ready = is_ready
+        self._get_unready_reason = get_unready_reason
 
     def make_app(self) -> Starlette:
         """Return the application for the operators' listener."""
@@ -70,7 +70,7 @@
                 Route('/metrics', self._get_metrics, methods=['GET']),
                 Route('/openapi.json', self._get_openapi, methods=['GET']),
                 *self._callers.make_job_routes(),
-                *make_health_routes(self._is_ready),
+                *make_health_routes(self._get_unready_reason),
             ]
         )
 
