--- a/bench/credits.py
+++ b/bench/credits.py
@@ -25,15 +25,15 @@
     )
 
 
-def make_arrivals(source, slots, load, skew):
+def make_arrivals(rng, slots, load, skew):
     """Return (time, instance, service time), some instances busier."""
     rate = load * slots / SERVICE_MS
     weights = [skew if place == 0 else 1.0 for place in range(INSTANCES)]
     found, now_ms = [], 0.0
     while now_ms < RUN_MS:
-        now_ms += source.expovariate(rate)
-        place = source.choices(range(INSTANCES), weights)[0]
-        found.append((now_ms, place, source.expovariate(1 / SERVICE_MS)))
+        now_ms += rng.expovariate(rate)
+        place = rng.choices(range(INSTANCES), weights)[0]
+        found.append((now_ms, place, rng.expovariate(1 / SERVICE_MS)))
     return found
 
 
@@ -125,8 +125,8 @@
     for slots in (8, 32, 128):
         for load in (0.3, 0.6, 0.8):
             for skew in (1, 8):
-                source = random.Random(options.seed)
-                arrivals = make_arrivals(source, slots, load, skew)
+                rng = random.Random(options.seed)
+                arrivals = make_arrivals(rng, slots, load, skew)
                 ways = {
                     'owner': play_owner(arrivals, slots),
                     'credits 100 ms': Credits(slots, 100.0).play(arrivals),
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -66,10 +66,10 @@
 def time_homes():
     instance = SingleInstance()
     context = Context(instance.state)
-    source = random.Random(1)
+    rng = random.Random(1)
     views = {}
     for number in range(138):
-        free = Resources(source.randrange(10000), 10000)
+        free = Resources(rng.randrange(10000), 10000)
         summary = CellSummary(f'cell/{number}', 1, free, free, free)
         views[summary.unit] = _homes.CellView(summary, free, free)
     times = []
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -95,10 +95,10 @@
 )
 
 
-def make_table(source, services):
+def make_table(rng, services):
     """Draw how much one neighbour of a class slows a service."""
     return {
-        (service, name): source.choice((0.0, 0.02, 0.05, 0.3, 0.8))
+        (service, name): rng.choice((0.0, 0.02, 0.05, 0.3, 0.8))
         for service in services
         for name in CLASSES
     }
@@ -126,8 +126,8 @@
     fleet: Fleet
     deployment: Deployment
     scenario: Scenario
-    call_source: random.Random
-    job_source: random.Random
+    call_rng: random.Random
+    job_rng: random.Random
     histogram: object = attrs.field(factory=make_histogram)
     over_ms: float = 0.0
     calls: int = 0
@@ -147,8 +147,8 @@
     async def send_calls(self, nursery):
         rate = self.deployment.calls_per_s * self.scenario.load
         while not self.stopped:
-            await trio.sleep(self.call_source.expovariate(rate))
-            service = self.call_source.choice(self.deployment.services)
+            await trio.sleep(self.call_rng.expovariate(rate))
+            service = self.call_rng.choice(self.deployment.services)
             nursery.start_soon(self.call, service)
 
     async def submit_jobs(self):
@@ -157,8 +157,8 @@
             number += 1
             rate = self.deployment.jobs_per_s * self.scenario.load
             wave = self.scenario.waves and int(trio.current_time()) % 30 < 8
-            await trio.sleep(self.job_source.expovariate(rate * (1 + 3 * wave)))
-            name = self.job_source.choice(CLASSES[:2] if wave else CLASSES)
+            await trio.sleep(self.job_rng.expovariate(rate * (1 + 3 * wave)))
+            name = self.job_rng.choice(CLASSES[:2] if wave else CLASSES)
             await self.fleet.submit(
                 JobSpec(
                     f'job-{number}',
@@ -169,7 +169,7 @@
                     Resources(self.deployment.batch_cpu, 1000),
                     int(
                         self.deployment.batch_run_ms
-                        * self.job_source.uniform(0.5, 1.5)
+                        * self.job_rng.uniform(0.5, 1.5)
                     ),
                 )
             )
@@ -186,14 +186,14 @@
 
 
 async def play(policy, deployment, scenario, seed, run_s, extra):
-    source = random.Random(seed)
-    table = make_table(source, deployment.services)
+    rng = random.Random(seed)
+    table = make_table(rng, deployment.services)
     async with Fleet(deployment.size, seed) as fleet:
         for worker in fleet.workers.values():
             worker.slowdowns.update(table)
             worker.service_ms = deployment.service_ms
             worker.faults.report_lag_ms = scenario.lag_ms
-            worker.faults.use_ratio = source.choice(scenario.use_ratios)
+            worker.faults.use_ratio = rng.choice(scenario.use_ratios)
         await fleet.wait_ready()
         await fleet.roll_bundle(make_bundle(policy, deployment, extra))
         await trio.sleep(3)
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -53,7 +53,7 @@
 async def lose_rack(fleet):
     for worker in fleet.workers.values():
         if worker.info.cell == 'cell-4':
-            fleet.note_hidden(worker.info.worker_id, 600)
+            fleet.record_unreachable(worker.info.worker_id, 600)
             worker.crash()
 
 
--- a/src/tulippin/_fake_network.py
+++ b/src/tulippin/_fake_network.py
@@ -1,4 +1,4 @@
-"""The network of a fleet: late, twice or never, and cut where told."""
+"""The simulated network of a fleet, with faults."""
 
 from __future__ import annotations
 
@@ -10,19 +10,26 @@
 
 from tulippin.exceptions import UnavailableError
 
-_HOP_S: t.Final = 0.0005
-_LOST_S: t.Final = 30.0
+_LATENCY_S: t.Final = 0.0005
+_LOSS_TIMEOUT_S: t.Final = 30.0
 
 
 @attrs.define
 class NetworkFaults:
-    """What the network does to messages.
+    """Faults of the network.
 
-    ``cut`` holds pairs of names that cannot reach each other; a name
-    is an instance's, a worker's or a failure domain's.
+    Parameters
+    ----------
+    cut_pairs : set of frozenset of str
+        Pairs of names that cannot reach each other: instances, workers
+        or failure domains.
+    lost_share, duplicate_share, late_share : float
+        Shares of messages that are lost, delivered twice or delayed.
+    late_s : float
+        Longest delay of a delayed message.
     """
 
-    cut: set[frozenset[str]] = attrs.field(factory=set)
+    cut_pairs: set[frozenset[str]] = attrs.field(factory=set)
     lost_share: float = 0.0
     duplicate_share: float = 0.0
     late_share: float = 0.0
@@ -31,28 +38,35 @@
 
 @attrs.define
 class FakeNetwork:
-    """Carries envelopes, syncs and requests, late, twice or never."""
+    """Transmits envelopes, syncs and requests, subject to faults.
 
-    source: random.Random
+    ``domains`` maps instances and workers to their failure domains.
+    """
+
+    rng: random.Random
     faults: NetworkFaults = attrs.field(factory=NetworkFaults)
     domains: dict[str, str] = attrs.field(factory=dict)
 
     def is_cut(self, one: str, other: str) -> bool:
         """Tell whether two names cannot reach each other."""
-        ones = {one, self.domains.get(one, one)}
-        others = {other, self.domains.get(other, other)}
+        names = {one, self.domains.get(one, one)}
+        other_names = {other, self.domains.get(other, other)}
         return any(
-            frozenset((left, right)) in self.faults.cut
-            for left in ones
-            for right in others
+            frozenset((first, second)) in self.faults.cut_pairs
+            for first in names
+            for second in other_names
         )
 
-    async def travel(self, one: str, other: str) -> None:
-        """Take the way from one name to another, or fail on it."""
-        await trio.sleep(_HOP_S)
-        if self.source.random() < self.faults.late_share:
-            await trio.sleep(self.source.random() * self.faults.late_s)
-        lost = self.source.random() < self.faults.lost_share
-        if lost or self.is_cut(one, other):
-            await trio.sleep(_LOST_S)
-            raise UnavailableError('lost on the way')
+    async def transmit(self, sender: str, receiver: str) -> None:
+        """Wait as long as a message takes to arrive.
+
+        Raises ``UnavailableError`` after a timeout if it is lost or the
+        connection is cut.
+        """
+        await trio.sleep(_LATENCY_S)
+        if self.rng.random() < self.faults.late_share:
+            await trio.sleep(self.rng.random() * self.faults.late_s)
+        lost = self.rng.random() < self.faults.lost_share
+        if lost or self.is_cut(sender, receiver):
+            await trio.sleep(_LOSS_TIMEOUT_S)
+            raise UnavailableError('the message was lost')
--- a/src/tulippin/_fake_platform.py
+++ b/src/tulippin/_fake_platform.py
@@ -1,4 +1,4 @@
-"""In-memory stand-ins for the platform's table, objects and list."""
+"""In-memory stand-ins for the table, object store and instance list."""
 
 from __future__ import annotations
 
@@ -18,44 +18,46 @@
 
 @attrs.define
 class RateMeter:
-    """Counts calls in each second, to hold a budget against."""
+    """Counts reads and writes per second, to compare with a budget."""
 
     writes: collections.Counter[int] = attrs.field(factory=collections.Counter)
     reads: collections.Counter[int] = attrs.field(factory=collections.Counter)
 
     def count_write(self, rows: int = 1) -> None:
-        """Count rows written in this second."""
+        """Count rows written in the present second."""
         self.writes[int(trio.current_time())] += rows
 
     def count_read(self, pages: int = 1) -> None:
-        """Count reads in this second; a scan reads a page at a time."""
+        """Count pages read in the present second; a get reads one."""
         self.reads[int(trio.current_time())] += pages
 
     def get_peak_writes(self) -> int:
-        """Return the writes of the worst second."""
+        """Return the highest number of rows written in a second."""
         return max(self.writes.values(), default=0)
 
     def get_peak_reads(self) -> int:
-        """Return the reads of the worst second."""
+        """Return the highest number of pages read in a second."""
         return max(self.reads.values(), default=0)
 
 
 @attrs.define
 class StoreFaults:
-    """How a store misbehaves now.
+    """Faults that a store injects at present.
 
     Parameters
     ----------
     down : bool
-        Every call fails, surely without effect.
+        Every call fails without effect; a call in progress may have
+        taken effect.
     delay_s : float
         Time that each call takes, half before and half after its effect.
     lost_answer_share : float
-        Share of writes that take effect and lose their answer.
+        Share of writes that take effect but whose answer is lost.
     lost_call_share : float
-        Share of writes that are lost on the way, which looks the same.
+        Share of writes that are lost before they take effect. The client
+        can't tell them from lost answers.
     cut_off : set of str
-        Clients that cannot reach the store.
+        Clients that can't reach the store.
     """
 
     down: bool = False
@@ -69,24 +71,24 @@
 class _FakeStore:
     faults: StoreFaults = attrs.field(factory=StoreFaults)
     meter: RateMeter = attrs.field(factory=RateMeter)
-    source: random.Random = attrs.field(factory=lambda: random.Random(0))
+    rng: random.Random = attrs.field(factory=lambda: random.Random(0))
 
-    async def enter(self, client: str) -> None:
-        """Pass a call in, or fail it surely without effect."""
+    async def begin_call(self, client: str) -> None:
+        """Delay a call, or fail it before it takes effect."""
         await trio.sleep(self.faults.delay_s / 2)
         if self.faults.down or client in self.faults.cut_off:
             raise UnavailableError('the store does not answer')
 
-    def lose_call(self) -> None:
-        """Lose a write on its way, by chance."""
-        if self.source.random() < self.faults.lost_call_share:
+    def maybe_lose_call(self) -> None:
+        """Fail a share of writes before they take effect."""
+        if self.rng.random() < self.faults.lost_call_share:
             raise AnswerLostError('the call is lost')
 
-    async def leave(self, client: str, *, wrote: bool) -> None:
-        """Pass an answer out, or lose it."""
+    async def end_call(self, client: str, *, wrote: bool) -> None:
+        """Delay an answer, or fail the call after it took effect."""
         await trio.sleep(self.faults.delay_s / 2)
         cut = self.faults.down or client in self.faults.cut_off
-        lost = wrote and self.source.random() < self.faults.lost_answer_share
+        lost = wrote and self.rng.random() < self.faults.lost_answer_share
         if wrote and (cut or lost):
             raise AnswerLostError('the answer is lost')
         if cut:
@@ -95,32 +97,32 @@
 
 @attrs.define
 class FakeTable(_FakeStore):
-    """The table service: conditional transactions over rows."""
+    """The table service: versioned rows and conditional transactions."""
 
     rows: dict[str, Row] = attrs.field(factory=dict)
     revision: int = 0
 
     async def get(self, key: str, client: str = '') -> Row | None:
-        """Return a row."""
-        await self.enter(client)
+        """Return a row, or ``None`` if it is absent."""
+        await self.begin_call(client)
         self.meter.count_read()
         row = self.rows.get(key)
-        await self.leave(client, wrote=False)
+        await self.end_call(client, wrote=False)
         return row
 
     async def scan(
         self, prefix: str, client: str = ''
     ) -> list[tuple[str, Row]]:
-        """Return the rows whose key begins with a prefix."""
-        await self.enter(client)
-        found = sorted(
+        """Return the rows whose keys begin with a prefix, sorted by key."""
+        await self.begin_call(client)
+        rows = sorted(
             (key, row)
             for key, row in self.rows.items()
             if key.startswith(prefix)
         )
-        self.meter.count_read(1 + len(found) // SCAN_PAGE_ROWS)
-        await self.leave(client, wrote=False)
-        return found
+        self.meter.count_read(1 + len(rows) // SCAN_PAGE_ROWS)
+        await self.end_call(client, wrote=False)
+        return rows
 
     async def commit(
         self,
@@ -128,23 +130,26 @@
         writes: t.Sequence[Write],
         client: str = '',
     ) -> int:
-        """Apply all writes if all conditions hold."""
-        await self.enter(client)
-        self.lose_call()
+        """Apply all writes if all conditions hold; return a version or 0."""
+        await self.begin_call(client)
+        self.maybe_lose_call()
         self.meter.count_write(len(writes))
         version = self.apply(conditions, writes)
-        await self.leave(client, wrote=True)
+        await self.end_call(client, wrote=True)
         return version
 
     def get_version(self, key: str) -> int:
-        """Return the version of a row, 0 if it is absent."""
+        """Return the version of a row, or 0 if it is absent."""
         row = self.rows.get(key)
         return row.version if row is not None else 0
 
     def apply(
         self, conditions: t.Sequence[Condition], writes: t.Sequence[Write]
     ) -> int:
-        """Apply a transaction at once; return its version or 0."""
+        """Apply a transaction; return its version, or 0 if it is refused.
+
+        Neither delays nor faults apply.
+        """
         for condition in conditions:
             if self.get_version(condition.key) != condition.version:
                 return 0
@@ -159,36 +164,36 @@
 
 @attrs.define
 class FakeObjects(_FakeStore):
-    """The object store."""
+    """The object store: bodies by key."""
 
     bodies: dict[str, bytes] = attrs.field(factory=dict)
 
     async def put(self, key: str, body: bytes, client: str = '') -> None:
         """Write an object."""
-        await self.enter(client)
+        await self.begin_call(client)
         self.meter.count_write()
         self.bodies[key] = body
-        await self.leave(client, wrote=True)
+        await self.end_call(client, wrote=True)
 
     async def get(self, key: str, client: str = '') -> bytes | None:
-        """Return an object."""
-        await self.enter(client)
+        """Return an object, or ``None`` if it is absent."""
+        await self.begin_call(client)
         self.meter.count_read()
         body = self.bodies.get(key)
-        await self.leave(client, wrote=False)
+        await self.end_call(client, wrote=False)
         return body
 
     async def delete(self, key: str, client: str = '') -> None:
         """Delete an object."""
-        await self.enter(client)
+        await self.begin_call(client)
         self.meter.count_write()
         self.bodies.pop(key, None)
-        await self.leave(client, wrote=True)
+        await self.end_call(client, wrote=True)
 
 
 @attrs.define
 class FakeDirectory:
-    """The lagging list: what was true ``lag_s`` ago."""
+    """The platform's list of workers and instances, ``lag_s`` late."""
 
     lag_s: float = 1.0
     down: bool = False
@@ -199,7 +204,7 @@
     )
 
     def publish(self) -> None:
-        """Note a change; it shows in the list after the lag."""
+        """Publish the present workers and instances, visible after the lag."""
         listed = InstanceList(
             tuple(self.workers[name] for name in sorted(self.workers)),
             tuple(sorted(self.instances)),
@@ -207,14 +212,14 @@
         self.history.append((trio.current_time(), listed))
 
     def set_standing(self, worker_id: str, standing: WorkerStanding) -> None:
-        """Change what the list says of a worker."""
+        """Set a worker's standing and publish it."""
         self.workers[worker_id] = attrs.evolve(
             self.workers[worker_id], standing=standing
         )
         self.publish()
 
     async def list_instances(self) -> InstanceList:
-        """Return the list as it was before the lag."""
+        """Return the list as it was ``lag_s`` ago."""
         if self.down:
             raise UnavailableError('the list does not answer')
         seen_s = trio.current_time() - self.lag_s
--- a/src/tulippin/_fake_process.py
+++ b/src/tulippin/_fake_process.py
@@ -1,4 +1,4 @@
-"""One instance's process in a fleet: its ports, and how it is paused."""
+"""An instance's process in a simulated fleet, which can be paused."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Gate:
-    """Holds everything that a paused process would send or take in."""
+    """Blocks the sends and receives of a process while it is paused."""
 
     opened: trio.Event | None = None
 
@@ -37,7 +37,7 @@
             self.opened = trio.Event()
 
     def open(self) -> None:
-        """Let the process go on."""
+        """Resume the process."""
         if self.opened is not None:
             self.opened.set()
             self.opened = None
@@ -50,7 +50,12 @@
 
 @attrs.define
 class Process:
-    """One instance's process: its shell and its ports."""
+    """An instance's process: its shell and its ports.
+
+    It is its own port to the table, directory, workers, endpoints and
+    peers, by way of the fleet's stand-ins. Calls wait at the gate, as a
+    paused process neither sends nor receives.
+    """
 
     name: str
     instance_id: str
@@ -64,14 +69,14 @@
     # table and objects
 
     async def get(self, key: str) -> Row | None:
-        """Return a row by way of this process's connection."""
+        """Return a row of the table."""
         await self.gate.wait()
         found = await self.fleet.table.get(key, self.instance_id)
         await self.gate.wait()
         return found
 
     async def scan(self, prefix: str) -> list[tuple[str, Row]]:
-        """Return rows by way of this process's connection."""
+        """Return the rows of the table whose keys begin with a prefix."""
         await self.gate.wait()
         found = await self.fleet.table.scan(prefix, self.instance_id)
         await self.gate.wait()
@@ -80,7 +85,7 @@
     async def commit(
         self, conditions: t.Sequence[Condition], writes: t.Sequence[Write]
     ) -> int:
-        """Commit by way of this process's connection."""
+        """Commit a transaction to the table; return its version or 0."""
         await self.gate.wait()
         version = await self.fleet.table.commit(
             conditions, writes, self.instance_id
@@ -89,20 +94,20 @@
         return version
 
     async def list_instances(self) -> InstanceList:
-        """Return the platform's list."""
+        """Return the platform's list of workers and instances."""
         await self.gate.wait()
         return await self.fleet.directory.list_instances()
 
     async def sync(self, address: str, message: WorkerSync) -> WorkerReport:
-        """Send a sync to a worker, which may take it in late or twice."""
+        """Send a sync to a worker, which may receive it late or twice."""
         await self.gate.wait()
         worker = self.fleet.workers[address]
         network = self.fleet.network
-        await network.travel(self.instance_id, address)
+        await network.transmit(self.instance_id, address)
         report = worker.sync(message)
-        if network.source.random() < network.faults.duplicate_share:
-            self.fleet.repeat_sync(worker, message)
-        await network.travel(address, self.instance_id)
+        if network.rng.random() < network.faults.duplicate_share:
+            self.fleet.redeliver_sync(worker, message)
+        await network.transmit(address, self.instance_id)
         await self.gate.wait()
         return report
 
@@ -117,9 +122,9 @@
         ):
             return EndpointReply(RequestOutcome(OutcomeKind.NOT_RUN, 'refused'))
         try:
-            await self.fleet.network.travel(self.instance_id, address)
+            await self.fleet.network.transmit(self.instance_id, address)
             reply = await self.fleet.serve(worker, request, epoch)
-            await self.fleet.network.travel(address, self.instance_id)
+            await self.fleet.network.transmit(address, self.instance_id)
         except UnavailableError:
             reply = EndpointReply(RequestOutcome(OutcomeKind.UNKNOWN, 'broken'))
         await self.gate.wait()
@@ -128,10 +133,10 @@
     async def fetch_bundle(self, address: str) -> BundleSent | None:
         """Return the bundle that the process at an address holds."""
         await self.gate.wait()
-        await self.fleet.network.travel(self.instance_id, address)
+        await self.fleet.network.transmit(self.instance_id, address)
         target = self.fleet.find_process(address)
         if target is None or target.shell is None:
-            raise UnavailableError('nobody listens there')
+            raise UnavailableError('no process listens at the address')
         state = target.shell.state
         if not state.bundle_number:
             return None
@@ -141,21 +146,21 @@
         """Deliver an envelope to the process at an address."""
         await self.gate.wait()
         network = self.fleet.network
-        await network.travel(self.instance_id, address)
+        await network.transmit(self.instance_id, address)
         target = self.fleet.find_process(address)
         if target is None or target.shell is None:
-            raise UnavailableError('nobody listens there')
+            raise UnavailableError('no process listens at the address')
         await target.gate.wait()
         target.shell.receive(envelope)
-        if network.source.random() < network.faults.duplicate_share:
-            self.fleet.repeat_envelope(address, envelope)
-        await network.travel(address, self.instance_id)
+        if network.rng.random() < network.faults.duplicate_share:
+            self.fleet.redeliver_envelope(address, envelope)
+        await network.transmit(address, self.instance_id)
         await self.gate.wait()
 
 
 @attrs.define
 class ObjectsClient:
-    """One process's connection to the object store."""
+    """The object store as a process reaches it."""
 
     process: Process
 
@@ -182,7 +187,7 @@
 
 
 class GatedShell(Shell):
-    """A shell whose loop stands still while its process is paused."""
+    """A shell whose event loop stops while its process is paused."""
 
     gate: Gate
 
--- a/src/tulippin/_fake_worker.py
+++ b/src/tulippin/_fake_worker.py
@@ -22,29 +22,31 @@
     WorkerSync,
 )
 
-_MS: t.Final = 1000
-_OK: t.Final = 200
+_MS_PER_S: t.Final = 1000
+_OK_STATUS: t.Final = 200
 
-Journal = t.Callable[..., None]
+Recorder = t.Callable[..., None]
 
 
 @attrs.define
 class WorkerFaults:
-    """How a worker misbehaves.
+    """Faults that a worker injects at present.
 
     Parameters
     ----------
     fails_everything : bool
-        Every task that starts here fails at once.
-    truncate_share, swap_share, late_share : float
-        Share of answers that are cut short, that are another request's,
-        and that come too late.
+        Every task that starts on the worker fails immediately.
+    truncate_share, swap_share, break_share, late_share : float
+        Shares of answers that are truncated, that belong to another
+        request, whose connection breaks, and that are delayed.
+    late_s : float
+        Delay of a delayed answer.
     use_ratio : float
-        What tasks really use, over what they declare.
+        Actual use of tasks, relative to what they declare.
     report_lag_ms : int
-        Age of the usage in a report.
+        Age of the usage samples in a report.
     checkpoint_every_ms : int
-        How often a batch task checkpoints by itself.
+        Interval of the checkpoints that a task writes; 0 for none.
     """
 
     fails_everything: bool = False
@@ -60,7 +62,7 @@
 
 @attrs.define
 class Run:
-    """One attempt on the worker."""
+    """One attempt of a task on the worker."""
 
     task: StartTask
     began_ms: int
@@ -75,16 +77,17 @@
 
 @attrs.define
 class FakeWorker:
-    """A worker: leases, capacity, slots, lagged reports and faults.
+    """A worker with leases, slots, delayed usage samples and faults.
 
-    ``note`` is called with what happens, for the history. Interference
-    slows a service by ``slowdowns[service, batch class]`` for each
-    neighbour of that class, and batch runs at half speed if throttled.
+    ``add_entry`` is called with each event, for the history. Each batch
+    run on the worker slows a service by ``slowdowns[service, job class]``,
+    and by half of that if it is throttled. A throttled run progresses at
+    half speed.
     """
 
     info: WorkerInfo
-    note: Journal
-    source: random.Random = attrs.field(factory=lambda: random.Random(0))
+    add_entry: Recorder
+    rng: random.Random = attrs.field(factory=lambda: random.Random(0))
     clock_offset_ms: int = 0
     service_ms: float = 5.0
     slowdowns: dict[tuple[str, str], float] = attrs.field(factory=dict)
@@ -103,11 +106,11 @@
 
     @property
     def clock_ms(self) -> int:
-        """Return the worker's own clock."""
-        return int(trio.current_time() * _MS) + self.clock_offset_ms
+        """Return the time of the worker's own clock."""
+        return int(trio.current_time() * _MS_PER_S) + self.clock_offset_ms
 
     def restart(self, incarnation: str) -> None:
-        """Come back with nothing running."""
+        """Start a new incarnation of the agent, without any runs."""
         self.advance()
         self._end_all(RunState.LAPSED)
         self.runs.clear()
@@ -118,7 +121,7 @@
         self.usage_history.clear()
 
     def crash(self) -> None:
-        """Die with everything that runs here."""
+        """Stop the worker and lose all its runs."""
         self.advance()
         self._end_all(RunState.LAPSED)
         self.runs.clear()
@@ -132,10 +135,10 @@
     # -- control -----------------------------------------------------------
 
     def sync(self, message: WorkerSync) -> WorkerReport:
-        """Carry out a sync and report.
+        """Apply a sync and return a report.
 
-        Raises ``FencedError`` for a lower epoch, ``UnavailableError``
-        for a sequence that was overtaken or a dead worker.
+        Raises ``FencedError`` for a lower epoch, and ``UnavailableError``
+        if the worker is down or has received a later sync of the epoch.
         """
         if not self.alive:
             raise UnavailableError('the worker is down')
@@ -187,7 +190,7 @@
             checkpoint_ms=done_ms,
         )
         self.runs[key] = run
-        self.note(
+        self.add_entry(
             'task_began',
             worker_id=self.info.worker_id,
             task_id=task.task_id,
@@ -204,32 +207,32 @@
         for key, run in self.runs.items():
             run.throttled = key in throttled
 
-    # -- time ----------------------------------------------------------------
+    # -- progress ------------------------------------------------------------
 
     def advance(self) -> None:
-        """Bring every run up to now: progress, ends, lapsed leases."""
+        """Update all runs to the present: progress, ends, lapsed leases."""
         now_ms = self.clock_ms
         for run in self.runs.values():
             if run.state is not RunState.RUNNING:
                 continue
             until_ms = min(now_ms, run.lease_until_ms)
             speed = 0.5 if run.throttled else 1.0
-            gained = max(0, until_ms - run.progressed_at_ms) * speed
-            need_ms = run.task.run_ms
-            finite = not run.task.service and need_ms > 0
-            if finite and run.progress_ms + gained >= need_ms:
-                missing = (need_ms - run.progress_ms) / speed
-                end_ms = run.progressed_at_ms + int(missing)
-                run.progress_ms = need_ms
+            gained_ms = max(0, until_ms - run.progressed_at_ms) * speed
+            required_ms = run.task.run_ms
+            has_end = not run.task.service and required_ms > 0
+            if has_end and run.progress_ms + gained_ms >= required_ms:
+                missing_ms = (required_ms - run.progress_ms) / speed
+                end_ms = run.progressed_at_ms + int(missing_ms)
+                run.progress_ms = required_ms
                 self._end(run, RunState.DONE, end_ms)
                 continue
-            run.progress_ms += gained
+            run.progress_ms += gained_ms
             run.progressed_at_ms = until_ms
-            every_ms = self.faults.checkpoint_every_ms
-            if every_ms:
+            interval_ms = self.faults.checkpoint_every_ms
+            if interval_ms:
                 run.checkpoint_ms = max(
                     run.checkpoint_ms,
-                    int(run.progress_ms) // every_ms * every_ms,
+                    int(run.progress_ms) // interval_ms * interval_ms,
                 )
             if now_ms >= run.lease_until_ms:
                 self._end(run, RunState.LAPSED, run.lease_until_ms)
@@ -237,7 +240,7 @@
     def _end(self, run: Run, state: RunState, at_ms: int) -> None:
         run.state = state
         run.ended_ms = at_ms
-        self.note(
+        self.add_entry(
             'task_ended',
             worker_id=self.info.worker_id,
             task_id=run.task.task_id,
@@ -248,18 +251,18 @@
         )
 
     def _make_report(self) -> WorkerReport:
-        samples = self._measure()
+        samples = self._sample_usage()
         self.usage_history.append((self.clock_ms, samples))
         lag_ms = self.faults.report_lag_ms
-        old = [
+        visible = [
             entry
             for entry in self.usage_history
             if entry[0] <= self.clock_ms - lag_ms
         ]
         usage: tuple[UsageSample, ...] = ()
         age_ms = 0
-        if old:
-            measured_ms, usage = old[-1]
+        if visible:
+            measured_ms, usage = visible[-1]
             age_ms = self.clock_ms - measured_ms
             self.usage_history = [
                 entry for entry in self.usage_history if entry[0] > measured_ms
@@ -288,7 +291,7 @@
             run.throttled,
         )
 
-    def _measure(self) -> tuple[UsageSample, ...]:
+    def _sample_usage(self) -> tuple[UsageSample, ...]:
         ratio = self.faults.use_ratio
         return tuple(
             UsageSample(
@@ -308,17 +311,17 @@
         )
 
     def get_slowdown(self, service: str) -> float:
-        """Return how much slower a service is for its neighbours now."""
+        """Return the factor by which batch runs slow a service at present."""
         total = 1.0
         for run in self.runs.values():
             if run.state is RunState.RUNNING and not run.task.service:
-                part = self.slowdowns.get((service, run.task.job_class), 0.0)
-                total += part / 2 if run.throttled else part
+                excess = self.slowdowns.get((service, run.task.job_class), 0.0)
+                total += excess / 2 if run.throttled else excess
         return total
 
     # -- services --------------------------------------------------------------
 
-    def _serves(self, service: str) -> bool:
+    def _runs_service(self, service: str) -> bool:
         self.advance()
         return any(
             run.task.service
@@ -328,7 +331,7 @@
         )
 
     async def call(self, request: ServiceRequest, epoch: int) -> EndpointReply:
-        """Serve one request, or refuse it surely without running it."""
+        """Serve a request, or refuse it without running it."""
         refusal = self._find_refusal(request, epoch)
         if refusal:
             return EndpointReply(
@@ -336,7 +339,7 @@
                 leaving=self.leaving,
             )
         self.busy_slots += 1
-        self.note(
+        self.add_entry(
             'request_ran',
             worker_id=self.info.worker_id,
             request_id=request.request_id,
@@ -345,32 +348,32 @@
         )
         try:
             slowdown = self.get_slowdown(request.service)
-            jitter = self.source.expovariate(1.0)
+            jitter = self.rng.expovariate(1.0)
             await trio.sleep(
-                self.service_ms * slowdown * (0.5 + jitter / 2) / _MS
+                self.service_ms * slowdown * (0.5 + jitter / 2) / _MS_PER_S
             )
-            if self.source.random() < self.faults.late_share:
+            if self.rng.random() < self.faults.late_share:
                 await trio.sleep(self.faults.late_s)
         finally:
             self.busy_slots = max(0, self.busy_slots - 1)
         if not self.alive:
             raise UnavailableError('the worker died')
-        if self.source.random() < self.faults.break_share:
+        if self.rng.random() < self.faults.break_share:
             raise UnavailableError('the connection broke')
         return self._make_reply(request)
 
     def _make_reply(self, request: ServiceRequest) -> EndpointReply:
         body = f'{request.service}:{request.request_id}:{request.body}'
         reply = EndpointReply(
-            RequestOutcome(OutcomeKind.ANSWERED, '', _OK, body),
+            RequestOutcome(OutcomeKind.ANSWERED, '', _OK_STATUS, body),
             self.leaving,
             request.request_id,
             len(body.encode()),
         )
         last, self.last_reply = self.last_reply, reply
-        if self.source.random() < self.faults.swap_share and last:
+        if self.rng.random() < self.faults.swap_share and last:
             return last
-        if self.source.random() < self.faults.truncate_share:
+        if self.rng.random() < self.faults.truncate_share:
             short = attrs.evolve(reply.outcome, body=body[: len(body) // 2])
             return attrs.evolve(reply, outcome=short)
         return reply
@@ -380,9 +383,9 @@
             return 'fenced'
         if self.leaving:
             return 'leaving'
-        if not self._serves(request.service):
+        if not self._runs_service(request.service):
             return 'refused'
         if self.busy_slots >= self.info.slot_count:
-            self.note('slots_refused', worker_id=self.info.worker_id)
+            self.add_entry('slots_refused', worker_id=self.info.worker_id)
             return 'refused'
         return ''
--- a/src/tulippin/_fleet.py
+++ b/src/tulippin/_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet in one process: real shells over in-memory stand-ins."""
+"""A fleet within one process: real shells over in-memory stand-ins."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from tulippin.types import JobSpec, OutcomeKind, Resources, WorkerInfo
 from tulippin.worker_types import WorkerSync
 
-_MS: t.Final = 1000
+_MS_PER_S: t.Final = 1000
 
 
 @attrs.frozen
 class FleetSize:
-    """How large a fleet is."""
+    """Numbers of instances, cells and workers, and the workers' size."""
 
     instance_count: int = 3
     cell_count: int = 3
@@ -42,16 +42,16 @@
 
 
 class Fleet:
-    """Instances, workers and platform; an asynchronous context manager.
+    """Runs instances, workers and a platform; an async context manager.
 
     Parameters
     ----------
     size : FleetSize
-        How many of each.
+        Number of instances and workers.
     seed : int
-        For every random choice.
+        Seed of all random choices.
     overrides : dict
-        Fields of ``Config`` to set on each instance.
+        Fields of ``Config`` to override on each instance.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         overrides: t.Mapping[str, t.Any] | None = None,
     ) -> None:
         self.size = size or FleetSize()
-        self.source = random.Random(seed)
+        self.rng = random.Random(seed)
         self.overrides = dict(overrides or {})
         self.overrides.setdefault('range_count', 6)
         self.overrides.setdefault(
@@ -72,9 +72,9 @@
             ),
         )
         self.history = History(self.get_now_ms)
-        self.table = FakeTable(source=self._fork())
-        # One budget covers both stores, so one meter counts both.
-        self.objects = FakeObjects(source=self._fork(), meter=self.table.meter)
+        self.table = FakeTable(rng=self._fork())
+        # Both stores share one budget, so they share one meter.
+        self.objects = FakeObjects(rng=self._fork(), meter=self.table.meter)
         self.directory = FakeDirectory()
         self.network = FakeNetwork(self._fork())
         self.workers: dict[str, FakeWorker] = {}
@@ -89,12 +89,12 @@
             self.operators[operator], self.keys[operator] = make_key()
 
     def _fork(self) -> random.Random:
-        return random.Random(self.source.getrandbits(32))
+        return random.Random(self.rng.getrandbits(32))
 
     @staticmethod
     def get_now_ms() -> int:
-        """Return the outside's clock."""
-        return int(trio.current_time() * _MS)
+        """Return the time of the clock that the history uses."""
+        return int(trio.current_time() * _MS_PER_S)
 
     async def __aenter__(self) -> t.Self:
         """Start workers and instances."""
@@ -106,7 +106,7 @@
         return self
 
     async def __aexit__(self, *details: t.Any) -> None:
-        """Stop everything at once and close the history."""
+        """Cancel all processes and end the history."""
         for worker in self.workers.values():
             worker.advance()
         self.history.note('end')
@@ -115,8 +115,8 @@
 
     def _add_workers(self) -> None:
         for cell in range(self.size.cell_count):
-            for place in range(self.size.workers_per_cell):
-                self.add_worker(f'worker-{cell}-{place}', cell)
+            for number in range(self.size.workers_per_cell):
+                self.add_worker(f'worker-{cell}-{number}', cell)
         self.directory.publish()
 
     def add_worker(self, worker_id: str, cell: int) -> FakeWorker:
@@ -135,7 +135,7 @@
             info,
             self.history.note,
             self._fork(),
-            self.source.randrange(100000),
+            self.rng.randrange(100000),
         )
         self.workers[worker_id] = worker
         self.directory.workers[worker_id] = info
@@ -157,12 +157,12 @@
     # instances
 
     def start_instance(self, instance_id: str) -> Process:
-        """Start a process of an instance."""
-        starts = sum(
+        """Start a new process of an instance."""
+        start_count = sum(
             process.instance_id == instance_id
             for process in self.processes.values()
         )
-        name = f'{instance_id}#{starts}'
+        name = f'{instance_id}#{start_count}'
         process = Process(name, instance_id, self)
         number = int(instance_id.rpartition('-')[2])
         domain = f'domain-{number % self.size.domain_count}'
@@ -187,7 +187,7 @@
             self.keys,
             clock=self.get_now_ms,
             wall=self.get_now_ms,
-            seed=self.source.getrandbits(32),
+            seed=self.rng.getrandbits(32),
             recorder=self._make_recorder(name),
         )
         shell.gate = process.gate
@@ -221,19 +221,23 @@
         self.history.note('instance_down', process=process.name)
 
     def find_process(self, instance_id: str) -> Process | None:
-        """Return the live process of an instance."""
+        """Return the running process of an instance, or ``None``."""
         for process in self.processes.values():
             if process.instance_id == instance_id and process.shell:
                 return process
         return None
 
     def iter_live(self) -> list[Process]:
-        """Return the processes that run."""
-        return [one for one in self.processes.values() if one.shell]
+        """Return the running processes."""
+        return [process for process in self.processes.values() if process.shell]
 
-    def iter_ready(self) -> list[Process]:
-        """Return the processes that a balancer would send callers to."""
-        return [one for one in self.iter_live() if not one.shell.get_unready()]
+    def get_ready_processes(self) -> list[Process]:
+        """Return the running processes that report themselves ready."""
+        return [
+            process
+            for process in self.iter_live()
+            if not process.shell.get_unready()
+        ]
 
     def crash(self, instance_id: str) -> None:
         """Kill an instance's process."""
@@ -244,19 +248,19 @@
             process.gate.open()
 
     async def pause(self, instance_id: str, pause_s: float) -> None:
-        """Suspend an instance's process for a while."""
+        """Pause an instance's process for ``pause_s``."""
         process = self.find_process(instance_id)
         if process is None:
             return
         self.history.note(
-            'disturbed', until_ms=self.get_now_ms() + int(pause_s * _MS)
+            'disturbed', until_ms=self.get_now_ms() + int(pause_s * _MS_PER_S)
         )
         process.gate.close()
         await trio.sleep(pause_s)
         process.gate.open()
 
     async def stop(self, instance_id: str) -> None:
-        """Stop an instance in a planned way."""
+        """Stop an instance in a planned way and wait until it has ended."""
         process = self.find_process(instance_id)
         if process is None or process.shell is None:
             return
@@ -264,43 +268,46 @@
         process.shell.stop()
         await process.ended.wait()
 
-    def note_hidden(self, worker_id: str, for_s: float) -> None:
-        """Note that some instances will not see a worker for a while."""
+    def record_unreachable(self, worker_id: str, for_s: float) -> None:
+        """Record that some instances can't reach a worker for ``for_s``."""
         self.history.note(
             'worker_hidden',
             worker_id=worker_id,
-            until_ms=self.get_now_ms() + int(for_s * _MS),
+            until_ms=self.get_now_ms() + int(for_s * _MS_PER_S),
         )
 
-    # the network's tricks
+    # network
 
-    def repeat_sync(self, worker: FakeWorker, message: WorkerSync) -> None:
-        """Deliver a sync again, later."""
+    def redeliver_sync(self, worker: FakeWorker, message: WorkerSync) -> None:
+        """Deliver a sync a second time within the next 5 s."""
 
-        async def again() -> None:
-            await trio.sleep(self.source.random() * 5)
+        async def redeliver() -> None:
+            await trio.sleep(self.rng.random() * 5)
             try:
                 worker.sync(message)
             except (UnavailableError, FencedError):
                 return
 
-        self.nursery.start_soon(again)
+        self.nursery.start_soon(redeliver)
 
-    def repeat_envelope(self, address: str, envelope: Envelope) -> None:
-        """Deliver an envelope again, later."""
+    def redeliver_envelope(self, address: str, envelope: Envelope) -> None:
+        """Deliver an envelope a second time within the next 5 s."""
 
-        async def again() -> None:
-            await trio.sleep(self.source.random() * 5)
+        async def redeliver() -> None:
+            await trio.sleep(self.rng.random() * 5)
             target = self.find_process(address)
             if target is not None and target.shell is not None:
                 target.shell.receive(envelope)
 
-        self.nursery.start_soon(again)
+        self.nursery.start_soon(redeliver)
 
     async def serve(
         self, worker: FakeWorker, request: ServiceRequest, epoch: int
     ) -> EndpointReply:
-        """Run a request on a worker, which goes on if nobody waits."""
+        """Run a request on a worker and return its reply.
+
+        The request runs to its end even if the caller is cancelled.
+        """
         done = trio.Event()
         replies: list[EndpointReply] = []
 
@@ -327,10 +334,10 @@
         body: str = 'hello',
         process: Process | None = None,
     ) -> RequestOutcome:
-        """Send one caller's request to a live instance, or a given one."""
+        """Send a request to a random or given process; return the outcome."""
         self.request_count += 1
         request_id = request_id or f'request-{self.request_count}'
-        process = process or self.source.choice(self.iter_live())
+        process = process or self.rng.choice(self.iter_live())
         digest = compute_digest(body)
         request = ServiceRequest(
             request_id, 'team', service, repeatable, body, deadline_ms, digest
@@ -339,26 +346,29 @@
             'caller_sent', request_id=request_id, repeatable=repeatable
         )
         outcome = RequestOutcome(OutcomeKind.UNKNOWN, 'connection_lost')
-        word = 'cut'
-        finished, result = await self._ask(process, request)
+        outcome_name = 'cut'
+        finished, result = await self._wait_for_answer(process, request)
         if finished:
             outcome = result
-            word = outcome.kind.value
+            outcome_name = outcome.kind.value
         self.history.note(
             'caller_answered',
             request_id=request_id,
             instance_id=process.name,
-            outcome=word,
+            outcome=outcome_name,
             code=outcome.code,
             body=outcome.body,
             expected=f'{service}:{request_id}:{body}',
         )
         return outcome
 
-    async def _ask(
+    async def _wait_for_answer(
         self, process: Process, request: ServiceRequest
     ) -> tuple[bool, t.Any]:
-        """Wait for an answer as long as the process lives."""
+        """Wait for an answer until the process ends.
+
+        Return whether it was answered, and the answer.
+        """
         answers: list[t.Any] = []
 
         async def ask(shell: Shell) -> None:
@@ -376,8 +386,8 @@
         return bool(answers), answers[0] if answers else None
 
     async def submit(self, spec: JobSpec) -> str:
-        """Submit a job through some live instance; return the code."""
-        process = self.source.choice(self.iter_live())
+        """Submit a job to a random running instance; return the code."""
+        process = self.rng.choice(self.iter_live())
         digest = compute_digest(repr(spec))
         code = 'unknown'
         answers: list[str] = []
@@ -396,22 +406,22 @@
             nursery.start_soon(watch)
         if answers:
             code = answers[0]
-        words = {'ok': 'accepted', 'unknown': 'unknown'}
+        outcome_names = {'ok': 'accepted', 'unknown': 'unknown'}
         self.history.note(
             'job_answered',
             job_id=spec.job_id,
-            outcome=words.get(code, 'not_run'),
+            outcome=outcome_names.get(code, 'not_run'),
             code=code,
         )
         return code
 
     async def submit_surely(self, spec: JobSpec) -> None:
-        """Submit a job again and again until it is accepted."""
+        """Submit a job repeatedly until it is accepted."""
         while await self.submit(spec) != 'ok':
             await trio.sleep(0.5)
 
     async def roll_bundle(self, text: str) -> int:
-        """Take a bundle through its life; return its number."""
+        """Propose, approve and roll a bundle; return its number."""
         store = BundleStore(self.table, self.keys)
         digest = compute_digest(text)
         alice, bob = self.operators['alice'], self.operators['bob']
@@ -427,7 +437,7 @@
     async def wait_for(
         self, condition: t.Callable[[], bool], limit_s: float = 120.0
     ) -> bool:
-        """Wait until a condition holds; false if it did not in time."""
+        """Wait for a condition; return whether it held within the limit."""
         with trio.move_on_after(limit_s):
             while not condition():
                 await trio.sleep(0.05)
@@ -435,7 +445,7 @@
         return False
 
     def count_active(self) -> int:
-        """Return the number of units that some live process acts for."""
+        """Return the number of units that running processes actively own."""
         return sum(
             unit.phase.value == 'active'
             for process in self.iter_live()
--- a/src/tulippin/_single.py
+++ b/src/tulippin/_single.py
@@ -1,4 +1,4 @@
-"""One instance's reducer fed by hand, for tests of single decisions."""
+"""The reducer of one instance, driven event by event in tests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 SESSION: t.Final = 'instance-0:own'
 PEER: t.Final = 'instance-1:peer'
-Effect = t.TypeVar('Effect', bound=fx.Effect)
+EffectKind = t.TypeVar('EffectKind', bound=fx.Effect)
 
 
 def make_worker(
@@ -45,14 +45,14 @@
 
 @attrs.define
 class SingleInstance:
-    """An instance whose every event is given by hand.
+    """An instance that gets its events from a test.
 
     Parameters
     ----------
     workers : tuple of WorkerInfo
-        The workers that the platform lists.
+        The workers in the platform's list.
     overrides : dict
-        Fields of ``Config``.
+        Fields of ``Config`` to override.
     """
 
     workers: tuple[WorkerInfo, ...] = (make_worker(),)
@@ -63,7 +63,7 @@
     state: State = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Open the session and load one cell and one range."""
+        """Open the session and load the workers' cells and one range."""
         config = Config(
             'instance-0',
             'domain-0',
@@ -78,13 +78,13 @@
         self.own(*sorted(cells), range_unit(0))
 
     def feed(self, kind: type[ev.Event], *arguments: t.Any) -> None:
-        """Reduce one event at the present time."""
+        """Reduce an event at the present time and keep its effects."""
         self.effects.extend(
             core.reduce(self.state, kind(self.now_ms, *arguments))
         )
 
     def own(self, *units: str, epoch: int = 1) -> None:
-        """Give units to the instance and load them empty."""
+        """Make the instance the owner of units and load them empty."""
         self.adopt({unit: Holder(SESSION, epoch) for unit in units})
         for unit in units:
             self.load(unit, epoch, make_ledger(unit))
@@ -92,7 +92,7 @@
     def adopt(
         self, units: dict[str, Holder], leases: tuple[LeaseRow, ...] = ()
     ) -> None:
-        """Show the instance a new ownership row."""
+        """Deliver a new ownership row to the instance."""
         self.row_version += 1
         self.feed(
             ev.TablePolled,
@@ -105,39 +105,39 @@
         )
 
     def load(self, unit: str, epoch: int, ledger: Ledger) -> None:
-        """Tell the instance that a unit's state is loaded."""
+        """Deliver the loaded ledger of a unit."""
         self.feed(ev.UnitLoaded, SESSION, unit, epoch, ledger)
 
     def tick(self, for_ms: int = 50, *, renew: bool = True) -> None:
-        """Let time pass, with the lease renewed unless told not to."""
+        """Advance the time by ``for_ms`` and renew the lease, if ``renew``."""
         self.now_ms += for_ms
         if renew:
             self.feed(ev.LeaseRenewed, SESSION, self.now_ms)
         self.feed(ev.Ticked)
 
     def commit(self) -> None:
-        """Let the journal row on its way become durable."""
+        """Complete the commit of the journal row in flight, if any."""
         if self.state.journal.in_flight:
             sequence = self.state.journal.sequence + 1
             self.feed(ev.JournalCommitted, SESSION, sequence)
 
     def commit_all(self) -> None:
-        """Let all records become durable, row by row."""
+        """Complete the commits of all pending journal records."""
         journal = self.state.journal
         while journal.pending or journal.in_flight:
             self.commit()
             self.tick()
 
-    def take(self, kind: type[Effect]) -> list[Effect]:
-        """Return and forget the effects of one kind."""
-        found = [one for one in self.effects if isinstance(one, kind)]
+    def take(self, kind: type[EffectKind]) -> list[EffectKind]:
+        """Remove and return the effects of one kind."""
+        taken = [effect for effect in self.effects if isinstance(effect, kind)]
         self.effects = [
-            one for one in self.effects if not isinstance(one, kind)
+            effect for effect in self.effects if not isinstance(effect, kind)
         ]
-        return found
+        return taken
 
     def take_sync(self) -> WorkerSync:
-        """Return the last sync sent, forgetting all."""
+        """Remove all syncs sent and return the last one."""
         return self.take(fx.SyncWorker)[-1].sync
 
     def report(
@@ -147,7 +147,7 @@
         worker_id: str = 'worker-0',
         **details: t.Any,
     ) -> None:
-        """Let a worker reply to the sync on its way."""
+        """Deliver a worker's report in reply to its sync in flight."""
         for cell in self.state.cells.values():
             worker = cell.workers.get(worker_id)
             if worker is None or not worker.sync_in_flight:
@@ -163,7 +163,7 @@
             )
 
     def greet_workers(self) -> None:
-        """Let every worker reply to its first syncs."""
+        """Deliver the first two reports of every worker."""
         self.tick()
         for worker in self.workers:
             self.report(worker_id=worker.worker_id)
--- a/src/tulippin/_soak.py
+++ b/src/tulippin/_soak.py
@@ -106,16 +106,14 @@
 
 def make_scenario(seed: int, step_count: int = 6) -> Scenario:
     """Return a scenario drawn from a seed, without hypothesis."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     kinds = list(FaultKind)
     steps = tuple(
         FaultStep(
-            source.choice(kinds),
-            round(source.uniform(3, 50), 2),
-            round(
-                source.choice((0.5, 2, 6, 12, 25)) * source.uniform(0.5, 1.5), 2
-            ),
-            source.randrange(1000),
+            rng.choice(kinds),
+            round(rng.uniform(3, 50), 2),
+            round(rng.choice((0.5, 2, 6, 12, 25)) * rng.uniform(0.5, 1.5), 2),
+            rng.randrange(1000),
         )
         for _ in range(step_count)
     )
@@ -128,7 +126,7 @@
 
     fleet: Fleet
     scenario: Scenario
-    source: random.Random
+    rng: random.Random
     stopped: bool = False
     outcomes: collections.Counter[str] = attrs.field(
         factory=collections.Counter
@@ -146,11 +144,11 @@
         while not self.stopped:
             number += 1
             request_id = f'request-{caller}-{number}'
-            repeatable = self.source.random() < 0.5
-            again = 1 + (not repeatable and self.source.random() < 0.3)
+            repeatable = self.rng.random() < 0.5
+            again = 1 + (not repeatable and self.rng.random() < 0.3)
             for _ in range(again):
                 await self._call_once(request_id, repeatable)
-            await trio.sleep(self.source.random() * 0.2)
+            await trio.sleep(self.rng.random() * 0.2)
 
     async def _call_once(self, request_id: str, repeatable: bool) -> None:
         if not self.fleet.iter_live():
@@ -174,7 +172,7 @@
         """Submit batch jobs of mixed sizes."""
         while not self.stopped:
             await self.submit_one(priority=0)
-            await trio.sleep(1 + self.source.random() * 3)
+            await trio.sleep(1 + self.rng.random() * 3)
 
     async def submit_one(self, priority: int) -> None:
         """Submit one job and note whether it was accepted."""
@@ -183,10 +181,10 @@
             f'job-{self.job_count}',
             'team',
             JobKind.BATCH,
-            self.source.choice(('calm', 'noisy')),
-            self.source.randrange(1, 12),
-            Resources(self.source.choice((500, 1000, 3000)), 1024),
-            self.source.randrange(300, 9000),
+            self.rng.choice(('calm', 'noisy')),
+            self.rng.randrange(1, 12),
+            Resources(self.rng.choice((500, 1000, 3000)), 1024),
+            self.rng.randrange(300, 9000),
             priority,
             50,
         )
@@ -219,10 +217,10 @@
         for worker_id in self.fleet.workers:
             domain = self.fleet.network.domains[worker_id]
             if {worker_id, domain} & pair:
-                self.fleet.note_hidden(worker_id, for_s)
-        self.fleet.network.faults.cut.add(pair)
+                self.fleet.record_unreachable(worker_id, for_s)
+        self.fleet.network.faults.cut_pairs.add(pair)
         await trio.sleep(for_s)
-        self.fleet.network.faults.cut.discard(pair)
+        self.fleet.network.faults.cut_pairs.discard(pair)
 
     # the end
 
@@ -426,7 +424,7 @@
 async def _crash_worker(soak: _Soak, step: FaultStep) -> None:
     worker = soak.fleet.workers[soak.pick_worker(step)]
     if worker.alive:
-        soak.fleet.note_hidden(worker.info.worker_id, step.for_s)
+        soak.fleet.record_unreachable(worker.info.worker_id, step.for_s)
         worker.crash()
         await trio.sleep(step.for_s)
         worker.restart(f'after-{step.at_s}')
@@ -495,10 +493,10 @@
     scenario: Scenario, overrides: t.Mapping[str, t.Any] | None = None
 ) -> SoakResult:
     """Run a scenario under whatever clock trio has, and check it."""
-    source = random.Random(scenario.seed)
+    rng = random.Random(scenario.seed)
     fleet = Fleet(scenario.size, scenario.seed, overrides)
     async with fleet:
-        soak = _Soak(fleet, scenario, source)
+        soak = _Soak(fleet, scenario, rng)
         await fleet.wait_ready()
         await fleet.submit_surely(
             JobSpec(
--- a/src/tulippin/history.py
+++ b/src/tulippin/history.py
@@ -1,7 +1,8 @@
-"""Recorded histories, and the nine promises as predicates over them.
+"""Recorded histories of a deployment, and checkers of its nine promises.
 
-A history is a list of what was seen from outside: callers, workers and
-instances. Each checker returns the violations that it finds.
+A history lists what callers, workers and instances did, as observed from
+outside the scheduler. Each checker takes a history and returns the
+violations of one promise.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 @attrs.frozen
 class Entry:
-    """One thing that happened, at a time of the outside's clock."""
+    """An observed event, with its time by the history's clock."""
 
     at_ms: int
     kind: str
@@ -31,7 +32,7 @@
 
 @attrs.frozen
 class Violation:
-    """A promise that a history breaks."""
+    """An entry of a history that breaks a promise."""
 
     promise: str
     at_ms: int
@@ -44,22 +45,33 @@
 
 @attrs.define
 class History:
-    """A growing record; ``clock`` returns milliseconds."""
+    """An append-only record of events.
+
+    Parameters
+    ----------
+    clock : callable
+        Returns the time in milliseconds.
+    entries : list of Entry
+        The events, in the order in which they were recorded.
+    """
 
     clock: t.Callable[[], int]
     entries: list[Entry] = attrs.field(factory=list)
 
     def note(self, kind: str, *, at_ms: int | None = None, **details) -> None:
-        """Record what happened, now or at a given time."""
+        """Append an event, at the present time unless ``at_ms`` is given."""
         moment = self.clock() if at_ms is None else at_ms
         self.entries.append(Entry(moment, kind, details))
 
     def iter_kind(self, *kinds: str) -> t.Iterator[Entry]:
-        """Iterate over entries of some kinds in order of time."""
-        order = {kind: place for place, kind in enumerate(kinds)}
-        found = [entry for entry in self.entries if entry.kind in order]
+        """Iterate over the entries of some kinds, ordered by time.
+
+        Entries of the same time come in the order of ``kinds``.
+        """
+        order = {kind: position for position, kind in enumerate(kinds)}
+        matching = [entry for entry in self.entries if entry.kind in order]
         return iter(
-            sorted(found, key=lambda entry: (entry.at_ms, order[entry.kind]))
+            sorted(matching, key=lambda entry: (entry.at_ms, order[entry.kind]))
         )
 
 
@@ -67,7 +79,7 @@
 
 
 def check_capacity(history: History) -> list[Violation]:
-    """Check that no worker holds more than its capacity or slots."""
+    """Check that no worker exceeds its capacity or its slots."""
     workers = {
         entry.details['worker_id']: entry.details
         for entry in history.iter_kind('worker')
@@ -83,9 +95,9 @@
 ) -> t.Iterator[Violation]:
     for entry in history.iter_kind('request_ran'):
         worker = workers.get(entry.details['worker_id'])
-        busy = entry.details['busy_slots']
-        if worker is not None and busy > worker['slot_count']:
-            message = f'{worker["worker_id"]} runs {busy} requests'
+        busy_count = entry.details['busy_slots']
+        if worker is not None and busy_count > worker['slot_count']:
+            message = f'{worker["worker_id"]} runs {busy_count} requests'
             yield Violation('capacity', entry.at_ms, message)
 
 
@@ -93,11 +105,11 @@
     history: History, workers: t.Mapping[str, Details]
 ) -> t.Iterator[Violation]:
     held: dict[str, dict[tuple[str, int], Resources]] = {}
-    brief = _find_brief_runs(history)
+    instant_runs = _find_instant_runs(history)
     for entry in history.iter_kind('task_ended', 'task_began'):
         run = _get_run_key(entry)
         worker = workers.get(run[0])
-        if worker is None or run in brief:
+        if worker is None or run in instant_runs:
             continue
         running = held.setdefault(run[0], {})
         if entry.kind == 'task_ended':
@@ -110,8 +122,12 @@
             yield Violation('capacity', entry.at_ms, message)
 
 
-def _find_brief_runs(history: History) -> set[tuple[str, str, int]]:
-    """Return runs that ended in the millisecond in which they began."""
+def _find_instant_runs(history: History) -> set[tuple[str, str, int]]:
+    """Return the runs that ended in the millisecond in which they began.
+
+    Ends sort before starts of the same time, so such a run would count
+    as running for ever.
+    """
     began = {
         _get_run_key(entry): entry.at_ms
         for entry in history.iter_kind('task_began')
@@ -128,70 +144,72 @@
     return details['worker_id'], details['task_id'], details['attempt']
 
 
-def check_single_place(history: History) -> list[Violation]:
-    """Check that no task runs in two places at once."""
+def check_single_run(history: History) -> list[Violation]:
+    """Check that no task has two runs at the same time."""
     running: dict[str, dict[tuple[str, int], int]] = {}
-    brief = _find_brief_runs(history)
-    found = []
+    instant_runs = _find_instant_runs(history)
+    violations = []
     for entry in history.iter_kind('task_ended', 'task_began'):
         details = entry.details
         task_id = details['task_id']
-        place = (details['worker_id'], details['attempt'])
-        if (place[0], task_id, place[1]) in brief:
+        run = (details['worker_id'], details['attempt'])
+        if (run[0], task_id, run[1]) in instant_runs:
             continue
-        places = running.setdefault(task_id, {})
+        active = running.setdefault(task_id, {})
         if entry.kind == 'task_ended':
-            places.pop(place, None)
+            active.pop(run, None)
             continue
-        if places:
-            found.append(
+        if active:
+            violations.append(
                 Violation(
                     'single_place',
                     entry.at_ms,
-                    f'{task_id} begins on {place} and runs on {list(places)}',
+                    f'{task_id} begins on {run} and runs on {list(active)}',
                 )
             )
-        places[place] = entry.at_ms
-    return found
+        active[run] = entry.at_ms
+    return violations
 
 
 def check_resume_once(history: History) -> list[Violation]:
-    """Check that evicted work goes on once, from its checkpoint.
+    """Check that evicted work resumes once, from its checkpoint.
 
-    No attempt begins twice, none begins after one that was done, and
-    the attempt after an eviction resumes where that one stopped. Work
-    that was done out of everybody's sight may be done again: no one can
-    tell it from work that was lost with its worker.
+    No attempt begins twice, none begins after the task is done, and the
+    attempt after an eviction resumes at the checkpoint of the evicted
+    one. A task that was done on an unreachable worker may run again, as
+    the instances can't tell it from one that was lost with its worker.
     """
-    found = []
+    violations = []
     done: dict[str, Entry] = {}
     begun: set[tuple[str, int]] = set()
     stopped: dict[str, int] = {}
-    hidden = list(history.iter_kind('worker_hidden'))
+    unreachable = list(history.iter_kind('worker_hidden'))
     for entry in history.iter_kind('task_ended', 'task_began'):
         worker_id, task_id, attempt = _get_run_key(entry)
         if entry.kind == 'task_ended':
-            _note_end(entry, done, stopped)
+            _update_ended(entry, done, stopped)
             continue
-        name = f'{task_id} attempt {attempt} on {worker_id}'
+        run_name = f'{task_id} attempt {attempt} on {worker_id}'
         faults = []
         if (task_id, attempt) in begun:
             faults.append('begins again')
-        if task_id in done and not _was_hidden(hidden, done[task_id], entry):
+        if task_id in done and not _was_unreachable(
+            unreachable, done[task_id], entry
+        ):
             faults.append('begins after it is done')
         resumed_ms = entry.details['resumed_ms']
         expected_ms = stopped.pop(task_id, resumed_ms)
         if resumed_ms != expected_ms:
             faults.append(f'resumes at {resumed_ms} ms, not {expected_ms}')
         begun.add((task_id, attempt))
-        found.extend(
-            Violation('resume_once', entry.at_ms, f'{name} {fault}')
+        violations.extend(
+            Violation('resume_once', entry.at_ms, f'{run_name} {fault}')
             for fault in faults
         )
-    return found
+    return violations
 
 
-def _note_end(
+def _update_ended(
     entry: Entry, done: dict[str, Entry], stopped: dict[str, int]
 ) -> None:
     details = entry.details
@@ -201,61 +219,68 @@
         stopped[details['task_id']] = details['checkpoint_ms']
 
 
-def _was_hidden(hidden: t.Sequence[Entry], done: Entry, begun: Entry) -> bool:
-    """Tell whether a worker was out of sight when its work was done."""
+def _was_unreachable(
+    unreachable: t.Sequence[Entry], done: Entry, begun: Entry
+) -> bool:
+    """Tell whether a worker was unreachable when its task was done."""
     return any(
         entry.details['worker_id'] == done.details['worker_id']
         and entry.at_ms <= begun.at_ms
         and entry.details['until_ms'] >= done.at_ms
-        for entry in hidden
+        for entry in unreachable
     )
 
 
 def check_whole_answers(history: History) -> list[Violation]:
-    """Check that each caller got the whole answer to its own request."""
-    found = []
+    """Check that each caller got the full answer to its own request."""
+    violations = []
     for entry in history.iter_kind('caller_answered'):
         details = entry.details
         if details['outcome'] != 'answered':
             continue
         if details['body'] != details['expected']:
-            found.append(
+            violations.append(
                 Violation(
                     'whole_answer',
                     entry.at_ms,
                     f'{details["request_id"]} got {details["body"]!r}',
                 )
             )
-    return found
+    return violations
 
 
 def check_not_run(history: History) -> list[Violation]:
-    """Check that what was refused as "not run" did not run."""
-    runs: dict[str, list[int]] = {}
+    """Check that no request or job ran that was refused as "not run"."""
+    runs_by_request: dict[str, list[int]] = {}
     for entry in history.iter_kind('request_ran'):
-        runs.setdefault(entry.details['request_id'], []).append(entry.at_ms)
-    jobs = {
+        runs_by_request.setdefault(entry.details['request_id'], []).append(
+            entry.at_ms
+        )
+    started_jobs = {
         entry.details['task_id'].partition('/')[0]
         for entry in history.iter_kind('task_began')
     }
-    others = _find_other_calls(history)
-    found = []
+    not_refused = _find_ids_not_refused(history)
+    violations = []
     for entry in history.iter_kind('caller_answered', 'job_answered'):
         if entry.details['outcome'] != 'not_run':
             continue
         if entry.kind == 'job_answered':
             name = entry.details['job_id']
-            ran = name in jobs
+            ran = name in started_jobs
         else:
             name = entry.details['request_id']
-            ran = name in runs
-        if ran and name not in others:
-            found.append(Violation('not_run', entry.at_ms, f'{name} ran'))
-    return found
+            ran = name in runs_by_request
+        if ran and name not in not_refused:
+            violations.append(Violation('not_run', entry.at_ms, f'{name} ran'))
+    return violations
 
 
-def _find_other_calls(history: History) -> set[str]:
-    """Return ids with a call that was not refused: its run may be that."""
+def _find_ids_not_refused(history: History) -> set[str]:
+    """Return the ids of requests and jobs with a call that wasn't refused.
+
+    A run under such an id may belong to that call.
+    """
     answers = history.iter_kind('caller_answered', 'job_answered')
     return {
         entry.details.get('request_id') or entry.details['job_id']
@@ -266,54 +291,54 @@
 
 def check_at_most_once(history: History) -> list[Violation]:
     """Check that no non-repeatable request ran twice."""
-    once = {
+    non_repeatable = {
         entry.details['request_id']
         for entry in history.iter_kind('caller_sent')
         if not entry.details['repeatable']
     }
     counts: collections.Counter[str] = collections.Counter()
-    found = []
+    violations = []
     for entry in history.iter_kind('request_ran'):
         request_id = entry.details['request_id']
         counts[request_id] += 1
-        if request_id in once and counts[request_id] > 1:
-            found.append(
+        if request_id in non_repeatable and counts[request_id] > 1:
+            violations.append(
                 Violation('at_most_once', entry.at_ms, f'{request_id} again')
             )
-    return found
+    return violations
 
 
 def check_leaving(history: History) -> list[Violation]:
-    """Check that a leaving endpoint gets nothing new after a while."""
-    left: dict[str, int] = {}
-    found = []
+    """Check that a leaving worker gets no new work after a time limit."""
+    leaving_since_ms: dict[str, int] = {}
+    violations = []
     for entry in history.iter_kind(
         'endpoint_leaving', 'request_ran', 'task_began'
     ):
         worker_id = entry.details['worker_id']
         if entry.kind == 'endpoint_leaving':
-            left.setdefault(worker_id, entry.at_ms)
+            leaving_since_ms.setdefault(worker_id, entry.at_ms)
             continue
-        since_ms = left.get(worker_id)
+        since_ms = leaving_since_ms.get(worker_id)
         if since_ms is None:
             continue
         if entry.at_ms > since_ms + LEAVING_LIMIT_MS:
-            found.append(
+            violations.append(
                 Violation(
                     'leaving',
                     entry.at_ms,
                     f'{worker_id} leaves since {since_ms}, got {entry.kind}',
                 )
             )
-    return found
+    return violations
 
 
 def check_planned_stop(history: History) -> list[Violation]:
-    """Check that a planned stop cut no request in progress.
+    """Check that a planned stop interrupts no request in progress.
 
-    A call that an instance had when its stop began, or took in after,
-    ends with an answer or a proved refusal, unless the instance crashes
-    on the way.
+    A call that an instance has when its stop begins, or accepts later,
+    ends with an answer or a proven refusal, unless the instance crashes before
+    it has stopped.
     """
     crashed = {
         entry.details['instance_id']
@@ -324,75 +349,79 @@
         for entry in history.iter_kind('stop_began')
         if entry.details['instance_id'] not in crashed
     }
-    found = []
+    violations = []
     for entry in history.iter_kind('caller_answered'):
         details = entry.details
         stop_ms = stops.get(details['instance_id'])
         if stop_ms is None or entry.at_ms < stop_ms:
             continue
         if details['outcome'] == 'cut':
-            found.append(
+            violations.append(
                 Violation('planned_stop', entry.at_ms, details['request_id'])
             )
-    return found
+    return violations
 
 
 def check_bundles(history: History) -> list[Violation]:
-    """Check that bundles come into force in time and never go back."""
-    return [*_check_order(history), *_check_in_time(history)]
+    """Check that processes take bundles in time and in order."""
+    return [*_check_bundle_order(history), *_check_bundle_delay(history)]
 
 
-def _check_order(history: History) -> t.Iterator[Violation]:
-    held: dict[str, int] = {}
+def _check_bundle_order(history: History) -> t.Iterator[Violation]:
+    held_numbers: dict[str, int] = {}
     for entry in history.iter_kind('bundle_taken'):
         process, number = entry.details['process'], entry.details['number']
-        if number < held.get(process, 0):
+        if number < held_numbers.get(process, 0):
             yield Violation(
                 'bundle', entry.at_ms, f'{process} went back to {number}'
             )
-        held[process] = number
+        held_numbers[process] = number
 
 
-def _check_in_time(history: History) -> t.Iterator[Violation]:
-    spans = _find_spans(history)
+def _check_bundle_delay(history: History) -> t.Iterator[Violation]:
+    lifetimes = _find_lifetimes(history)
     taken = [
         (entry.details['process'], entry.details['number'], entry.at_ms)
         for entry in history.iter_kind('bundle_taken')
     ]
     for entry in history.iter_kind('bundle_accepted'):
         number = entry.details['number']
-        for process, (began_ms, ended_ms) in spans.items():
+        for process, (began_ms, ended_ms) in lifetimes.items():
             due_ms = _get_due_ms(history, entry.at_ms, began_ms)
-            got = [
+            taken_times_ms = [
                 at_ms
-                for name, higher, at_ms in taken
-                if name == process and higher >= number
+                for taker, taken_number, at_ms in taken
+                if taker == process and taken_number >= number
             ]
-            late = not got or min(got) > due_ms
+            late = not taken_times_ms or min(taken_times_ms) > due_ms
             if late and due_ms <= ended_ms:
                 message = f'{process} lacks bundle {number}'
                 yield Violation('bundle', due_ms, message)
 
 
-def _find_spans(history: History) -> dict[str, tuple[int, int]]:
-    """Return when each process began and ended."""
-    ends = [entry.at_ms for entry in history.iter_kind('end')]
-    downs = {
+def _find_lifetimes(history: History) -> dict[str, tuple[int, int]]:
+    """Return the start and end time of each process."""
+    ends_ms = [entry.at_ms for entry in history.iter_kind('end')]
+    ended_ms = {
         entry.details['process']: entry.at_ms
         for entry in history.iter_kind('instance_down')
     }
-    last_ms = max(ends, default=0)
+    history_end_ms = max(ends_ms, default=0)
     return {
         entry.details['process']: (
             entry.at_ms,
-            downs.get(entry.details['process'], last_ms),
+            ended_ms.get(entry.details['process'], history_end_ms),
         )
         for entry in history.iter_kind('instance_up')
     }
 
 
 def _get_due_ms(history: History, accepted_ms: int, began_ms: int) -> int:
-    """Return when a process must hold a bundle; disturbances put it off."""
+    """Return when a process must hold a bundle at the latest.
+
+    A disturbance that overlaps with the wait restarts the limit at its
+    end.
+    """
     due_ms = max(accepted_ms, began_ms) + BUNDLE_LIMIT_MS
     for entry in history.iter_kind('disturbed'):
         until_ms = entry.details['until_ms']
@@ -403,7 +432,7 @@
 
 CHECKERS: t.Final[dict[str, Checker]] = {
     'capacity': check_capacity,
-    'single_place': check_single_place,
+    'single_place': check_single_run,
     'resume_once': check_resume_once,
     'whole_answer': check_whole_answers,
     'not_run': check_not_run,
@@ -415,7 +444,7 @@
 
 
 def check_history(history: History) -> list[Violation]:
-    """Check all nine promises and return every violation."""
+    """Return the violations of all nine promises."""
     return [
         violation
         for checker in CHECKERS.values()
--- a/src/tulippin/standins.py
+++ b/src/tulippin/standins.py
@@ -1,7 +1,7 @@
-"""The stand-ins behind HTTP, for daemons and the demo on loopback.
+"""A stand-in platform and its workers over HTTP on loopback.
 
-``python -m tulippin.standins`` serves a platform and its workers, and
-prints the platform's URL.
+Tests of daemons and the demo use them. ``python -m tulippin.standins``
+serves a platform and its workers, and prints the platform's URL.
 """
 
 from __future__ import annotations
@@ -56,11 +56,11 @@
 {operators}
 """
 _UNAVAILABLE: t.Final = 503
-_LOST: t.Final = 500
+_ANSWER_LOST: t.Final = 500
 _NOT_FOUND: t.Final = 404
 _CONFLICT: t.Final = 409
-_ANY: t.Final = '127.0.0.1:0'
-_MS: t.Final = 1000
+_ANY_PORT: t.Final = '127.0.0.1:0'
+_MS_PER_S: t.Final = 1000
 
 
 def render_settings(
@@ -69,18 +69,18 @@
     operators: t.Mapping[str, str] | None = None,
     more: str = '',
 ) -> str:
-    """Return the settings of one daemon on loopback, on free ports.
+    """Return the settings of a daemon that listens on free loopback ports.
 
     Parameters
     ----------
     number : int
-        Of the instance and its failure domain.
+        Number of the instance and of its failure domain.
     url : str
-        Of the platform's stand-in.
+        URL of the stand-in platform.
     operators : mapping of str to str, optional
-        Public keys by name.
+        Public keys by operator name.
     more : str
-        Further sections.
+        Sections to append.
     """
     keys = [f'{name} = {key}' for name, key in (operators or {}).items()]
     text = _SETTINGS.format(number=number, url=url, operators='\n'.join(keys))
@@ -88,7 +88,7 @@
 
 
 class PlatformApp:
-    """The table, the object store and the list as one application."""
+    """An HTTP application of the table, objects and instance list."""
 
     def __init__(
         self,
@@ -113,8 +113,8 @@
                 Route('/faults', self._set_faults, methods=['POST']),
             ],
             exception_handlers={
-                AnswerLostError: _lose,
-                UnavailableError: _refuse,
+                AnswerLostError: _answer_lost,
+                UnavailableError: _answer_unavailable,
             },
         )
 
@@ -139,16 +139,16 @@
         elif request.method == 'DELETE':
             await self._objects.delete(key)
         else:
-            found = await self._objects.get(key)
-            status = _NOT_FOUND if found is None else 200
-            return Response(found or b'', status)
+            content = await self._objects.get(key)
+            status = _NOT_FOUND if content is None else 200
+            return Response(content or b'', status)
         return Response(b'')
 
     async def _list(self, _: Request) -> Response:
         return make_json(await self._directory.list_instances())
 
     async def _set_faults(self, request: Request) -> Response:
-        """Set fields of the stores' faults, by their names."""
+        """Set the named fields of ``StoreFaults`` on both stores."""
         changes = codec.decode(await request.body(), dict)
         for store in (self._table, self._objects):
             for name, value in changes.items():
@@ -156,16 +156,16 @@
         return JSONResponse(changes)
 
 
-async def _lose(_: Request, error: Exception) -> Response:
-    return JSONResponse({'message': str(error)}, _LOST)
+async def _answer_lost(_: Request, error: Exception) -> Response:
+    return JSONResponse({'message': str(error)}, _ANSWER_LOST)
 
 
-async def _refuse(_: Request, error: Exception) -> Response:
+async def _answer_unavailable(_: Request, error: Exception) -> Response:
     return JSONResponse({'message': str(error)}, _UNAVAILABLE)
 
 
 class WorkerApp:
-    """One worker's agent and the services that run on it."""
+    """An HTTP application of a worker's agent and its services."""
 
     def __init__(self, worker: FakeWorker) -> None:
         self._worker = worker
@@ -212,7 +212,7 @@
 
 @attrs.frozen
 class StandinSize:
-    """How many workers, how large, and how slow their services."""
+    """Number and size of the workers, and their service time."""
 
     cell_count: int = 3
     workers_per_cell: int = 3
@@ -222,18 +222,18 @@
 
 
 class Standins:
-    """A platform and workers on loopback; an async context manager.
+    """Serves a platform and workers; an async context manager.
 
     Parameters
     ----------
     size : StandinSize
-        How many workers.
+        Number and size of the workers.
     address : str
-        Where the platform listens.
+        Host and port that the platform listens on.
     """
 
     def __init__(
-        self, size: StandinSize | None = None, address: str = _ANY
+        self, size: StandinSize | None = None, address: str = _ANY_PORT
     ) -> None:
         self.size = size or StandinSize()
         self.history = History(self._get_now_ms)
@@ -247,10 +247,10 @@
 
     @staticmethod
     def _get_now_ms() -> int:
-        return int(trio.current_time() * _MS)
+        return int(trio.current_time() * _MS_PER_S)
 
     async def __aenter__(self) -> t.Self:
-        """Start all listeners."""
+        """Start all HTTP servers."""
         await self._stack.__aenter__()
         nursery = await self._stack.enter_async_context(trio.open_nursery())
         self._stack.callback(nursery.cancel_scope.cancel)
@@ -258,27 +258,27 @@
         server = await self._serve(nursery, app.make_app(), self._address)
         self.url = f'http://127.0.0.1:{server.port}'
         for cell in range(self.size.cell_count):
-            for place in range(self.size.workers_per_cell):
-                await self._add_worker(nursery, cell, place)
+            for number in range(self.size.workers_per_cell):
+                await self._add_worker(nursery, cell, number)
         self.directory.publish()
         return self
 
     async def __aexit__(self, *details: t.Any) -> None:
-        """Stop all listeners."""
+        """Stop all HTTP servers."""
         await self._stack.__aexit__(*details)
 
     async def _serve(
-        self, nursery: trio.Nursery, app: Starlette, address: str = _ANY
+        self, nursery: trio.Nursery, app: Starlette, address: str = _ANY_PORT
     ) -> HttpServer:
         server = self._stack.enter_context(HttpServer(app, address))
         await nursery.start(server.serve)
         return server
 
     async def _add_worker(
-        self, nursery: trio.Nursery, cell: int, place: int
+        self, nursery: trio.Nursery, cell: int, number: int
     ) -> None:
-        worker_id = f'worker-{cell}-{place}'
-        blank = WorkerInfo(
+        worker_id = f'worker-{cell}-{number}'
+        info = WorkerInfo(
             worker_id,
             '',
             f'cell-{cell}',
@@ -288,10 +288,10 @@
             standing=WorkerStanding.LIVE,
         )
         worker = FakeWorker(
-            blank, self.history.note, service_ms=self.size.service_ms
+            info, self.history.note, service_ms=self.size.service_ms
         )
         server = await self._serve(nursery, WorkerApp(worker).make_app())
-        worker.info = attrs.evolve(blank, address=f'127.0.0.1:{server.port}')
+        worker.info = attrs.evolve(info, address=f'127.0.0.1:{server.port}')
         self.workers[worker_id] = worker
         self.directory.workers[worker_id] = worker.info
         self.history.note(
--- a/src/tulippin/testing.py
+++ b/src/tulippin/testing.py
@@ -1,7 +1,7 @@
-"""Helpers for tests: stand-ins for the platform and whole fleets.
+"""Public helpers for tests: in-memory platforms, workers and fleets.
 
-They run in memory under ``trio.testing.MockClock``, or behind HTTP
-through ``tulippin.standins``.
+All of them run under ``trio.testing.MockClock``. ``tulippin.standins``
+serves the same platform and workers over HTTP.
 """
 
 from __future__ import annotations
--- a/tests/tulippin/test_promises.py
+++ b/tests/tulippin/test_promises.py
@@ -94,9 +94,9 @@
     worker = find_worker_running(fleet, 'long/0')
     for number in range(SMALL.instance_count):
         pair = frozenset((f'instance-{number}', worker.info.worker_id))
-        fleet.network.faults.cut.add(pair)
+        fleet.network.faults.cut_pairs.add(pair)
     await trio.sleep(25)
-    fleet.network.faults.cut.clear()
+    fleet.network.faults.cut_pairs.clear()
     await trio.sleep(10)
 
 
@@ -199,9 +199,9 @@
 
 
 async def send_ticket_to(fleet, process, request_id):
-    fleet.source.choice, choice = lambda _: process, fleet.source.choice
+    fleet.rng.choice, choice = lambda _: process, fleet.rng.choice
     await send_ticket(fleet, request_id)
-    fleet.source.choice = choice
+    fleet.rng.choice = choice
 
 
 async def leave_worker(fleet):
--- a/tests/tulippin/test_soak.py
+++ b/tests/tulippin/test_soak.py
@@ -216,9 +216,9 @@
             for west in range(3):
                 for east in range(3, 6):
                     pair = frozenset((f'domain-{west}', f'domain-{east}'))
-                    fleet.network.faults.cut.add(pair)
+                    fleet.network.faults.cut_pairs.add(pair)
             for worker_id in fleet.workers:
-                fleet.note_hidden(worker_id, 180)
+                fleet.record_unreachable(worker_id, 180)
             outcomes = collections.Counter()
             for number in range(90):
                 answer = await fleet.request(
@@ -229,7 +229,7 @@
             # A range across the cut is refused at once; all else answers.
             assert outcomes['answered'] >= 60
             assert outcomes['unknown'] <= 3
-            fleet.network.faults.cut.clear()
+            fleet.network.faults.cut_pairs.clear()
             await trio.sleep(15)
             await fleet.submit_surely(
                 JobSpec('after', 'team', task_count=20, run_ms=1000)
@@ -252,7 +252,7 @@
             await trio.sleep(6)
             for worker in fleet.workers.values():
                 if worker.info.failure_domain == 'domain-2':
-                    fleet.note_hidden(worker.info.worker_id, 600)
+                    fleet.record_unreachable(worker.info.worker_id, 600)
                     worker.crash()
                     del fleet.directory.workers[worker.info.worker_id]
             fleet.crash('instance-2')
@@ -307,7 +307,7 @@
             await trio.sleep(4)
 
             async def call(number):
-                process = fleet.source.choice(fleet.iter_ready())
+                process = fleet.rng.choice(fleet.get_ready_processes())
                 answer = await fleet.request(
                     'alerts', repeatable=number % 3 != 0, process=process
                 )
