--- a/bench/hops.py
+++ b/bench/hops.py
@@ -1,8 +1,9 @@
-"""CPU and latency of each hop of a request, as ratios taken in one run.
+"""CPU and latency of each hop of a request, relative to a direct call.
 
-Three daemons as separate processes; requests go to the instance that owns
-the service's only cell (one hop), or to another (two hops), repeatable or
-made durable first. The endpoint itself called directly is the baseline.
+Three daemons run as separate processes. Requests go to the instance that
+owns the service's only cell (one hop) or to another (two hops), and are
+repeatable or made durable first. A call to the endpoint itself is the
+baseline.
 """
 
 import pathlib
@@ -33,27 +34,27 @@
 
 
 def read_cpu_s(pid):
-    """Return the processor seconds that a process has used."""
+    """Return the CPU seconds that a process has used."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().rsplit(')')[1]
     ticks = sum(map(int, fields.split()[11:13]))
     return ticks / 100
 
 
-async def start(folder, number, url):
+async def start_daemon(folder, number, url):
     path = pathlib.Path(folder) / f'{number}.ini'
     path.write_text(render_settings(number, url, more=JSON_LOG))
     handle = await trio.lowlevel.open_process(
         [sys.executable, '-m', 'tulippin.daemon', str(path)],
         stderr=subprocess.PIPE,
     )
-    text = b''
-    while b'listening' not in text:
-        text += await handle.stderr.receive_some()
-    return handle, decode(text.splitlines()[-1], dict)
+    output = b''
+    while b'listening' not in output:
+        output += await handle.stderr.receive_some()
+    return handle, decode(output.splitlines()[-1], dict)
 
 
 async def measure(client, make_request, handles):
-    """Return the median ms and the daemons' CPU ms of one request."""
+    """Return p50 and p99 in ms, CPU ms per request, and the duration."""
     for number in range(50):
         await make_request(client, f'warm-{time.time_ns()}-{number}')
     before = sum(read_cpu_s(handle.pid) for handle in handles)
@@ -63,18 +64,18 @@
         start_s = time.perf_counter()
         await make_request(client, f'r-{time.time_ns()}-{number}')
         latencies.append((time.perf_counter() - start_s) * 1000)
-    took_s = time.perf_counter() - began
-    used = sum(read_cpu_s(handle.pid) for handle in handles) - before
+    duration_s = time.perf_counter() - began
+    used_cpu_s = sum(read_cpu_s(handle.pid) for handle in handles) - before
     ordered = sorted(latencies)
     return (
         statistics.median(ordered),
         ordered[int(len(ordered) * 0.99)],
-        used * 1000 / COUNT,
-        took_s,
+        used_cpu_s * 1000 / COUNT,
+        duration_s,
     )
 
 
-def ask(port, *, repeatable):
+def make_call(port, *, repeatable):
     async def make_request(client, request_id):
         body = {
             'request_id': request_id,
@@ -92,7 +93,7 @@
     return make_request
 
 
-def ask_directly(address):
+def make_direct_call(address):
     async def make_request(client, request_id):
         headers = {REQUEST_ID_HEADER: request_id, EPOCH_HEADER: '999'}
         answer = await client.send(
@@ -103,12 +104,12 @@
     return make_request
 
 
-async def idle_cpu_ms(handles):
-    """Return the CPU that the daemons use in a second without load."""
+async def measure_idle_cpu_ms(handles):
+    """Return the CPU ms that the daemons use per second without load."""
     before = sum(read_cpu_s(handle.pid) for handle in handles)
     await trio.sleep(5)
-    used = sum(read_cpu_s(handle.pid) for handle in handles) - before
-    return used * 1000 / 5
+    used_cpu_s = sum(read_cpu_s(handle.pid) for handle in handles) - before
+    return used_cpu_s * 1000 / 5
 
 
 async def main():
@@ -118,7 +119,7 @@
             started = []
             for number in range(3):
                 standins.directory.instances.add(f'instance-{number}')
-                started.append(await start(folder, number, standins.url))
+                started.append(await start_daemon(folder, number, standins.url))
             standins.directory.publish()
             handles = [handle for handle, _ in started]
             try:
@@ -144,22 +145,24 @@
         else:
             other = ports['callers']
     worker = next(iter(standins.workers.values()))
-    idle = await idle_cpu_ms(handles)
+    idle = await measure_idle_cpu_ms(handles)
     cases = {
-        'endpoint directly': ask_directly(worker.info.address),
-        'one hop, repeatable': ask(owner, repeatable=True),
-        'two hops, repeatable': ask(other, repeatable=True),
-        'durable first': ask(other, repeatable=False),
+        'endpoint directly': make_direct_call(worker.info.address),
+        'one hop, repeatable': make_call(owner, repeatable=True),
+        'two hops, repeatable': make_call(other, repeatable=True),
+        'durable first': make_call(other, repeatable=False),
     }
     print(f'three idle daemons use {idle:.0f} ms of CPU a second')
-    base = None
+    base_p50_ms = None
     print(f'{"way":24} p50 ms  p99 ms  ratio  CPU ms a request')
     for name, make_request in cases.items():
-        p50, p99, cpu_ms, took_s = await measure(client, make_request, handles)
-        cpu_ms -= idle * took_s / COUNT
-        base = base or p50
+        p50, p99, cpu_ms, duration_s = await measure(
+            client, make_request, handles
+        )
+        cpu_ms -= idle * duration_s / COUNT
+        base_p50_ms = base_p50_ms or p50
         print(
-            f'{name:24} {p50:6.2f} {p99:7.2f} {p50 / base:6.2f}'
+            f'{name:24} {p50:6.2f} {p99:7.2f} {p50 / base_p50_ms:6.2f}'
             f'  {max(cpu_ms, 0):6.2f}'
         )
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,7 +1,8 @@
-"""CPU of one placement by the number of tasks that run on each worker.
+"""CPU time of a placement by the number of tasks that run on each worker.
 
-One cell of 8 workers, as an owner of 138 cells over 9 instances has 15 of;
-prints the median and its slope, and the home's choice among 138 cells.
+Measures one cell of 8 workers; with 138 cells over 9 instances, an instance
+owns 15 or 16 of them. Prints medians and their slope, and the time in which a
+job's home unit chooses among 138 cells.
 """
 
 import random
@@ -67,15 +68,15 @@
     instance = SingleInstance()
     context = Context(instance.state)
     rng = random.Random(1)
-    views = {}
+    cell_views = {}
     for number in range(138):
         free = Resources(rng.randrange(10000), 10000)
         summary = CellSummary(f'cell/{number}', 1, free, free, free)
-        views[summary.unit] = _homes.CellView(summary, free, free)
+        cell_views[summary.unit] = _homes.CellView(summary, free, free)
     times = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        assert _homes.pick_cell(context, SPEC, views)
+        assert _homes.pick_cell(context, SPEC, cell_views)
         times.append((time.perf_counter() - began) * 1e6)
     return statistics.median(times)
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,8 +1,8 @@
-"""Policies under the same load: tails, throughput, evictions, waste.
+"""Compares policies under equal load: tails, throughput, evictions, waste.
 
-Whole fleets in virtual time over a fake at the worker interface, which
-slows a service by a table drawn from the seed. Ratios to least loaded over
-the report seeds; the tuning seeds are others.
+Runs fleets in virtual time over fake workers, which slow a service by random
+factors drawn from the seed. Prints ratios to the policy least_loaded over the
+report seeds; `--tuning` uses a disjoint set of seeds.
 """
 
 import argparse
@@ -24,12 +24,12 @@
 REPORT_SEEDS = (1, 2, 3, 4, 5)
 POLICIES = ('least_loaded', 'random', 'best_fit', 'interference', 'oracle')
 CLASSES = ('ingest', 'report', 'merge', 'index', 'backup', 'train')
-WARM_S = 40
+WARM_UP_S = 40
 
 
 @attrs.frozen
 class Deployment:
-    """A user's fleet, its services and its batch work."""
+    """A fleet with its services and batch work."""
 
     size: FleetSize
     services: tuple
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class Scenario:
-    """What befalls a deployment."""
+    """The load and the faults that a deployment is subject to."""
 
     name: str
     load: float = 1.0
@@ -95,8 +95,8 @@
 )
 
 
-def make_table(rng, services):
-    """Draw how much one neighbour of a class slows a service."""
+def draw_slowdowns(rng, services):
+    """Draw the slowdown of each service by one run of each job class."""
     return {
         (service, name): rng.choice((0.0, 0.02, 0.05, 0.3, 0.8))
         for service in services
@@ -104,11 +104,11 @@
     }
 
 
-def make_bundle(policy, deployment, extra):
+def make_bundle(policy, deployment, settings):
     kind = 'interference' if policy == 'oracle' else policy
     lines = ['[bundle]', 'name = x', '[policy p]', f'kind = {kind}']
     if kind == 'interference':
-        lines.extend(extra)
+        lines.extend(settings)
     for service in deployment.services:
         lines.extend(
             (
@@ -121,7 +121,7 @@
 
 @attrs.define
 class Run:
-    """One policy, scenario and seed in progress."""
+    """A run of a policy in a scenario: its load and its latencies."""
 
     fleet: Fleet
     deployment: Deployment
@@ -156,15 +156,15 @@
         while not self.stopped:
             number += 1
             rate = self.deployment.jobs_per_s * self.scenario.load
-            wave = self.scenario.waves and int(trio.current_time()) % 30 < 8
-            await trio.sleep(self.job_rng.expovariate(rate * (1 + 3 * wave)))
-            name = self.job_rng.choice(CLASSES[:2] if wave else CLASSES)
+            in_wave = self.scenario.waves and int(trio.current_time()) % 30 < 8
+            await trio.sleep(self.job_rng.expovariate(rate * (1 + 3 * in_wave)))
+            job_class = self.job_rng.choice(CLASSES[:2] if in_wave else CLASSES)
             await self.fleet.submit(
                 JobSpec(
                     f'job-{number}',
                     'team',
                     JobKind.BATCH,
-                    name,
+                    job_class,
                     self.deployment.job_tasks,
                     Resources(self.deployment.batch_cpu, 1000),
                     int(
@@ -175,31 +175,31 @@
             )
 
     async def cause_faults(self):
-        await trio.sleep(WARM_S / 2)
+        await trio.sleep(WARM_UP_S / 2)
         for name in sorted(self.fleet.workers)[: self.scenario.failing]:
             self.fleet.workers[name].faults.fails_everything = True
         if self.scenario.outage_s:
-            await trio.sleep(WARM_S)
+            await trio.sleep(WARM_UP_S)
             self.fleet.table.faults.down = True
             await trio.sleep(self.scenario.outage_s)
             self.fleet.table.faults.down = False
 
 
-async def play(policy, deployment, scenario, seed, run_s, extra):
+async def run_policy(policy, deployment, scenario, seed, run_s, settings):
     rng = random.Random(seed)
-    table = make_table(rng, deployment.services)
+    slowdowns = draw_slowdowns(rng, deployment.services)
     async with Fleet(deployment.size, seed) as fleet:
         for worker in fleet.workers.values():
-            worker.slowdowns.update(table)
+            worker.slowdowns.update(slowdowns)
             worker.service_ms = deployment.service_ms
             worker.faults.report_lag_ms = scenario.lag_ms
             worker.faults.use_ratio = rng.choice(scenario.use_ratios)
         await fleet.wait_ready()
-        await fleet.roll_bundle(make_bundle(policy, deployment, extra))
+        await fleet.roll_bundle(make_bundle(policy, deployment, settings))
         await trio.sleep(3)
         if policy == 'oracle':
             for process in fleet.iter_live():
-                teach(process.shell.state.model, table)
+                set_true_weights(process.shell.state.model, slowdowns)
         for service in deployment.services:
             await fleet.submit_surely(
                 JobSpec(
@@ -214,7 +214,7 @@
                 )
             )
         await trio.sleep(3)
-        # Each stream has its own source: the same load for every policy.
+        # Separate generators give every policy the same load.
         run = Run(
             fleet,
             deployment,
@@ -226,16 +226,16 @@
             nursery.start_soon(run.send_calls, nursery)
             nursery.start_soon(run.submit_jobs)
             nursery.start_soon(run.cause_faults)
-            await trio.sleep(WARM_S)
+            await trio.sleep(WARM_UP_S)
             run.counting = True
-            before = count(fleet)
+            counts_before = read_counts(fleet)
             await trio.sleep(run_s)
             run.counting = False
             run.stopped = True
-            after = count(fleet)
+            counts_after = read_counts(fleet)
             nursery.cancel_scope.deadline = trio.current_time() + 4
     done, evicted, wasted = (
-        new - old for new, old in zip(after, before, strict=True)
+        new - old for new, old in zip(counts_after, counts_before, strict=True)
     )
     return {
         'p99': run.histogram.get_value_at_percentile(99) / 1000,
@@ -248,46 +248,48 @@
     }
 
 
-def teach(model, table):
-    """Give a model the true table, and keep it from learning."""
+def set_true_weights(model, slowdowns):
+    """Set a model to the true slowdowns and disable learning."""
     model.step = 0.0
-    for (service, name), slowdown in table.items():
-        model.weights[f'{service}|{name}'] = slowdown
-        model.sample_counts[f'{service}|{name}'] = 1e9
+    for (service, job_class), slowdown in slowdowns.items():
+        model.weights[f'{service}|{job_class}'] = slowdown
+        model.sample_counts[f'{service}|{job_class}'] = 1e9
 
 
-def count(fleet):
+def read_counts(fleet):
     done = evicted = wasted = 0
     for process in fleet.iter_live():
         state = process.shell.state
         done += state.counters['attempts_done']
         evicted += state.counters['attempts_evicted']
-        wasted += sum(one.wasted_ms for one in state.stats.policies.values())
+        wasted += sum(
+            policy.wasted_ms for policy in state.stats.policies.values()
+        )
     return done, evicted, wasted
 
 
-def work(task):
-    policy, name, scenario, seed, run_s, extra = task
+def run_in_process(task):
+    policy, deployment_name, scenario, seed, run_s, settings = task
     trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio_run._r = random.Random(seed)
     clock = trio.testing.MockClock(autojump_threshold=0)
     return trio.run(
-        play,
+        run_policy,
         policy,
-        DEPLOYMENTS[name],
+        DEPLOYMENTS[deployment_name],
         scenario,
         seed,
         run_s,
-        extra,
+        settings,
         clock=clock,
     )
 
 
-def ratio(value, base):
+def compute_ratio(value, base):
     return value / base if base else (1.0 if not value else float('inf'))
 
 
-def show(name, scenario, results, seeds):
+def print_results(name, scenario, results, seeds):
     print(f'\n{name}, {scenario.name}, seeds {list(seeds)}')
     print(
         f'{"policy":13} {"p99":>7} {"p999":>7} {"over ms":>8} {"done":>6}'
@@ -295,21 +297,21 @@
     )
     for policy in POLICIES:
         rows = [results[policy, seed] for seed in seeds]
-        base = [results['least_loaded', seed] for seed in seeds]
+        base_rows = [results['least_loaded', seed] for seed in seeds]
         means = {
             key: statistics.fmean(row[key] for row in rows) for key in rows[0]
         }
         ratios = {
             key: [
-                ratio(row[key], low[key])
-                for row, low in zip(rows, base, strict=True)
+                compute_ratio(row[key], base[key])
+                for row, base in zip(rows, base_rows, strict=True)
             ]
             for key in ('p99', 'over', 'done')
         }
         text = ' '.join(
-            f'{key} {statistics.fmean(found):.2f}'
-            f' ({min(found):.2f}-{max(found):.2f})'
-            for key, found in ratios.items()
+            f'{key} {statistics.fmean(values):.2f}'
+            f' ({min(values):.2f}-{max(values):.2f})'
+            for key, values in ratios.items()
         )
         broken = int(sum(row['broken'] for row in rows))
         print(
@@ -341,8 +343,10 @@
                     (one, name, scenario, seed, options.seconds, options.set)
                     for one, seed in keys
                 ]
-                results = dict(zip(keys, pool.map(work, tasks), strict=True))
-                show(name, scenario, results, seeds)
+                results = dict(
+                    zip(keys, pool.map(run_in_process, tasks), strict=True)
+                )
+                print_results(name, scenario, results, seeds)
     print(f'\nwall {time.monotonic() - began:.0f} s')
 
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,8 +1,8 @@
-"""What a lost instance, a lost rack and a store outage cost, virtual time.
+"""Cost of a lost instance, a lost rack and a store outage in virtual time.
 
-Prints for each: time until every unit has an active owner again, tasks that
-lost time and how much, requests by outcome in the first 30 s, and the
-table's worst second.
+Prints for each: the time until every unit has an active owner again, the
+number and delay of delayed tasks, requests by outcome in the first 30 s, and
+the highest numbers of table reads and writes in a second.
 """
 
 import collections
@@ -16,11 +16,11 @@
 from tulippin.types import SERVICE_PRIORITY, JobKind, JobSpec, Resources
 
 SEEDS = range(1, 6)
-RUN_MS = 20000
+TASK_RUN_MS = 20000
 LOAD_S = 30
 
 
-async def prepare(seed):
+async def start_fleet(seed):
     fleet = Fleet(FleetSize(6, 12, 4, domain_count=6, region_count=2), seed)
     async with fleet:
         assert await fleet.wait_ready()
@@ -37,7 +37,7 @@
             )
         )
         await fleet.submit_surely(
-            JobSpec('batch', 'team', task_count=200, run_ms=RUN_MS)
+            JobSpec('batch', 'team', task_count=200, run_ms=TASK_RUN_MS)
         )
         await trio.sleep(8)
         yield fleet
@@ -64,17 +64,17 @@
     fleet.table.faults.down = fleet.objects.faults.down = False
 
 
-async def call(fleet, outcomes, until_s):
+async def call(fleet, outcomes, end_s):
     number = 0
-    while trio.current_time() < until_s:
+    while trio.current_time() < end_s:
         number += 1
         outcome = await fleet.request('alerts', repeatable=number % 4 != 0)
         outcomes[f'{outcome.kind.value} {outcome.code}'.strip()] += 1
         await trio.sleep(0.02)
 
 
-async def watch(fleet, began_s, result):
-    """Note when all units are active again after they were not."""
+async def measure_recovery(fleet, began_s, result):
+    """Store the time in which all units have become active again."""
     await trio.sleep(0.05)
     while not await fleet.wait_ready(0.06):
         await trio.sleep(0.02)
@@ -82,7 +82,7 @@
 
 
 async def run(seed, fault):
-    async for fleet in prepare(seed):
+    async for fleet in start_fleet(seed):
         outcomes = collections.Counter()
         result = {}
         began_s = trio.current_time()
@@ -90,10 +90,10 @@
         fleet.table.meter.reads.clear()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fault, fleet)
-            nursery.start_soon(watch, fleet, began_s, result)
+            nursery.start_soon(measure_recovery, fleet, began_s, result)
             for _ in range(8):
                 nursery.start_soon(call, fleet, outcomes, began_s + LOAD_S)
-        await finish(fleet)
+        await wait_until_done(fleet)
         meter = fleet.table.meter
         result['writes'] = meter.get_peak_writes()
         result['reads'] = meter.get_peak_reads()
@@ -105,16 +105,16 @@
         for entry in fleet.history.iter_kind('task_began'):
             starts.setdefault(entry.details['task_id'], entry.at_ms)
         delays = [
-            end_ms - starts[task_id] - RUN_MS
+            end_ms - starts[task_id] - TASK_RUN_MS
             for task_id, end_ms in worker_ends.items()
             if task_id.startswith('batch')
         ]
         result['delays'] = [delay for delay in delays if delay > 500]
-    found = check_history(fleet.history)
-    return result, outcomes, found
+    violations = check_history(fleet.history)
+    return result, outcomes, violations
 
 
-async def finish(fleet):
+async def wait_until_done(fleet):
     with trio.move_on_after(300):
         while True:
             shell = fleet.iter_live()[0].shell
@@ -126,23 +126,25 @@
 
 def main():
     faults = (lose_instance, lose_rack, lose_store)
-    wanted = sys.argv[1:] or [fault.__name__ for fault in faults]
+    selected = sys.argv[1:] or [fault.__name__ for fault in faults]
     for fault in faults:
-        if fault.__name__ not in wanted:
+        if fault.__name__ not in selected:
             continue
         recovered, delays, writes, reads = [], [], [], []
         outcomes = collections.Counter()
-        delayed = broken = 0
+        delayed_count = violation_count = 0
         for seed in SEEDS:
             clock = trio.testing.MockClock(autojump_threshold=0)
-            result, counted, found = trio.run(run, seed, fault, clock=clock)
+            result, run_outcomes, violations = trio.run(
+                run, seed, fault, clock=clock
+            )
             recovered.append(result['recovered_s'])
             delays.extend(result['delays'])
-            delayed += len(result['delays'])
+            delayed_count += len(result['delays'])
             writes.append(result['writes'])
             reads.append(result['reads'])
-            outcomes.update(counted)
-            broken += len(found)
+            outcomes.update(run_outcomes)
+            violation_count += len(violations)
         total = sum(outcomes.values())
         print(f'{fault.__name__} over seeds {list(SEEDS)}:')
         print(
@@ -151,14 +153,14 @@
         )
         median = statistics.median(delays) / 1000 if delays else 0
         print(
-            f'  tasks delayed {delayed} of {200 * len(SEEDS)},'
+            f'  tasks delayed {delayed_count} of {200 * len(SEEDS)},'
             f' median {median:.1f} s'
         )
         for name, count in outcomes.most_common():
             print(f'  requests {name}: {count} ({count / total:.2%})')
         print(
             f'  worst second {max(writes)} writes, {max(reads)} reads;'
-            f' promises broken {broken}'
+            f' promises broken {violation_count}'
         )
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,6 +1,6 @@
-"""Slopes of state, messages, CPU and memory, for docs/CAPACITY.md.
+"""Sizes of state and messages, CPU and memory per item.
 
-Each is measured at two sizes or more and printed per item.
+Slopes are computed from two sizes. docs/CAPACITY.md uses the figures.
 """
 
 import gc
@@ -37,7 +37,7 @@
     return AttemptEntry(task, spec, 'worker-0', 'incarnation-1', SIZE, '', 'p')
 
 
-def fill(instance, count):
+def add_attempts(instance, count):
     cell = instance.state.cells['cell/cell-0']
     worker = cell.workers['worker-0']
     for number in range(count):
@@ -48,25 +48,25 @@
     return cell, worker
 
 
-def slope(function, low, high):
+def compute_slope(function, low, high):
     return (function(high) - function(low)) / (high - low)
 
 
-def sync_bytes(count):
+def measure_sync_bytes(count):
     instance = SingleInstance((make_worker(capacity=Resources(10**9, 10**9)),))
     instance.greet_workers()
-    cell, worker = fill(instance, count)
+    cell, worker = add_attempts(instance, count)
     sync = _make_sync(Context(instance.state), cell, worker)
     return len(codec.encode(sync))
 
 
-def report_bytes(count, lag_ms=0):
-    worker = make_fake(count)
+def measure_report_bytes(count, lag_ms=0):
+    worker = make_fake_worker(count)
     worker.faults.report_lag_ms = lag_ms
-    return len(codec.encode(worker.sync(renewal(worker))))
+    return len(codec.encode(worker.sync(make_empty_sync(worker))))
 
 
-def make_fake(count):
+def make_fake_worker(count):
     worker = FakeWorker(make_worker(), lambda *_, **__: None)
     starts = tuple(
         StartTask(f'job-{number:010d}/7', 1, 'class', False, SIZE, 10**7)
@@ -76,11 +76,11 @@
     return worker
 
 
-def renewal(worker):
+def make_empty_sync(worker):
     return WorkerSync('worker-0', 1, worker.sequence + 1, 10**13, 'one')
 
 
-def memory_of(make, count):
+def measure_memory_bytes(make, count):
     gc.collect()
     tracemalloc.start()
     kept = [make(number) for number in range(count)]
@@ -90,18 +90,21 @@
     return size / count
 
 
-def agent_cpu_us(count):
-    """CPU of a stand-in agent to decode a sync, act and encode a report."""
-    worker = make_fake(count)
+def measure_agent_cpu_us(count):
+    """Return the CPU time that a fake agent takes for an empty sync.
+
+    It decodes the sync, applies it and encodes its report.
+    """
+    worker = make_fake_worker(count)
     rounds = 300
     began = time.process_time()
     for _ in range(rounds):
-        body = codec.encode(renewal(worker))
+        body = codec.encode(make_empty_sync(worker))
         codec.encode(worker.sync(codec.decode(body, WorkerSync)))
     return (time.process_time() - began) * 1e6 / rounds
 
 
-def envelope_us(count):
+def measure_envelope(count):
     ref = TaskRef('job-0123456789', 7, 1, 'range/07')
     messages = []
     for _ in range(count // 3):
@@ -117,45 +120,48 @@
     for _ in range(50):
         wire = encode_envelope(envelope)
         decode_envelope(wire)
-    spent = (time.process_time() - began) * 1e6 / 50
-    return spent / len(messages), wire.ByteSize() / len(messages)
+    spent_us = (time.process_time() - began) * 1e6 / 50
+    return spent_us / len(messages), wire.ByteSize() / len(messages)
 
 
-def gossip_bytes(cells):
+def measure_gossip_bytes(cell_count):
     workers = tuple(
-        make_worker(f'worker-{cell}-{place}', f'rack-{cell:03d}')
-        for cell in range(cells)
-        for place in range(8)
+        make_worker(f'worker-{cell}-{number}', f'rack-{cell:03d}')
+        for cell in range(cell_count)
+        for number in range(8)
     )
     instance = SingleInstance(workers)
     summaries = make_summaries(Context(instance.state))
     return len(codec.encode(Gossip(summaries, 1, 1, True)))
 
 
-def record_bytes():
+def measure_record_bytes():
     ref = TaskRef('job-0123456789', 7, 1, 'range/07')
-    found = (
+    task_records = (
         records.TaskAssigned(ref.job_id, 7, 1, 'cell/rack-012', 3),
         records.AttemptPlaced(ref, SPEC, 'worker-012-3', 'one', SIZE, '', 'p'),
         records.AttemptEnded(ref.task_id, 1, TaskOutcome.DONE, 'c@100'),
         records.TaskReturned(ref.job_id, 7, 1, TaskOutcome.DONE, 'c@100'),
         records.AttemptForgotten(ref.task_id, 1),
     )
-    rows = [records.UnitRecord('cell/rack-012', 3, one) for one in found]
+    rows = [
+        records.UnitRecord('cell/rack-012', 3, record)
+        for record in task_records
+    ]
     return len(codec.encode_records(rows))
 
 
-def snapshot_cost(count):
+def measure_snapshot(count):
     instance = SingleInstance((make_worker(capacity=Resources(10**9, 10**9)),))
     instance.greet_workers()
-    cell, _ = fill(instance, count)
+    cell, _ = add_attempts(instance, count)
     began = time.process_time()
     body = codec.encode_ledgers([('cell/cell-0', 1, cell.ledger)])
     return len(body), (time.process_time() - began) * 1000
 
 
-async def http_sync_ms(count):
-    """CPU of both sides, and of the client alone, for a sync by HTTP."""
+async def measure_http_sync_ms(count):
+    """Return the CPU ms of client and server together for an HTTP sync."""
     async with Standins(StandinSize(1, 1)) as standins, HttpClient() as client:
         worker = next(iter(standins.workers.values()))
         starts = tuple(
@@ -179,30 +185,37 @@
 async def main():
     print('state and messages')
     print(
-        f'  sync: {sync_bytes(0)} B + {slope(sync_bytes, 5, 100):.0f} B a task'
+        f'  sync: {measure_sync_bytes(0)} B +'
+        f' {compute_slope(measure_sync_bytes, 5, 100):.0f} B a task'
+    )
+    print(
+        f'  report: {measure_report_bytes(0)} B +'
+        f' {compute_slope(measure_report_bytes, 5, 100):.0f} B a task,'
+        ' use included'
     )
     print(
-        f'  report: {report_bytes(0)} B +'
-        f' {slope(report_bytes, 5, 100):.0f} B a task, use included'
+        f'  stand-in agent: {measure_agent_cpu_us(0):.0f} us +'
+        f' {compute_slope(measure_agent_cpu_us, 5, 105):.1f} us a task,'
+        ' for each sync'
     )
     print(
-        f'  stand-in agent: {agent_cpu_us(0):.0f} us +'
-        f' {slope(agent_cpu_us, 5, 105):.1f} us a task, for each sync'
+        f'  gossip: {compute_slope(measure_gossip_bytes, 2, 15):.0f} B a cell'
     )
-    print(f'  gossip: {slope(gossip_bytes, 2, 15):.0f} B a cell')
-    cpu, size = envelope_us(300)
+    cpu, size = measure_envelope(300)
     print(f'  peer message: {size:.0f} B, {cpu:.1f} us CPU both sides')
-    print(f'  five records of a task: {record_bytes()} B in the journal')
-    size, spent = snapshot_cost(3000)
+    print(
+        f'  five records of a task: {measure_record_bytes()} B in the journal'
+    )
+    size, spent = measure_snapshot(3000)
     print(f'  snapshot: {size / 3000:.0f} B, {spent:.1f} ms for 3,000 attempts')
     print('memory of an owner')
-    print(f'  attempt: {memory_of(make_entry, 5000):.0f} B')
-    kept = memory_of(
+    print(f'  attempt: {measure_memory_bytes(make_entry, 5000):.0f} B')
+    kept = measure_memory_bytes(
         lambda n: (f'r{n}', RequestEntry('d' * 64, n, OutcomeKind.ANSWERED)),
         5000,
     )
     print(f'  non-repeatable request kept: {kept:.0f} B and its answer')
-    spent = await http_sync_ms(300)
+    spent = await measure_http_sync_ms(300)
     print(f'sync by HTTP, both sides in one process: {spent:.2f} ms CPU')
 
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,7 +1,7 @@
-"""Run random faults over fleets in virtual time and check the histories.
+"""Runs random faults against fleets in virtual time; checks the histories.
 
-Prints the seed of a failure, what it broke, and the shortest list of its
-faults that still does.
+For each failing seed, prints the failures and a minimized list of faults
+that still fails.
 """
 
 import argparse
@@ -25,12 +25,14 @@
     return trio.run(run_scenario, scenario, clock=clock)
 
 
-def shorten(scenario: Scenario) -> Scenario:
-    """Drop faults one by one as long as the run still fails."""
+def minimize(scenario: Scenario) -> Scenario:
+    """Remove each fault without which the run still fails."""
     for step in scenario.steps:
-        rest = tuple(one for one in scenario.steps if one is not step)
-        shorter = attrs.evolve(scenario, steps=rest)
-        if not run(shorter).clean:
+        remaining = tuple(
+            other for other in scenario.steps if other is not step
+        )
+        shorter = attrs.evolve(scenario, steps=remaining)
+        if not run(shorter).is_clean:
             scenario = shorter
     return scenario
 
@@ -53,11 +55,11 @@
         faults += len(scenario.steps)
         kinds.update(step.kind.value for step in scenario.steps)
         outcomes.update(result.outcomes)
-        if result.clean:
+        if result.is_clean:
             continue
         failures += 1
         print(f'seed {seed} fails:\n{result.render()[:2000]}')
-        for step in shorten(scenario).steps:
+        for step in minimize(scenario).steps:
             print(f'  {step}')
         sys.stdout.flush()
     print(f'runs {options.runs}, events {events}, history entries {entries},')
--- a/examples/fleet_in_virtual_time.py
+++ b/examples/fleet_in_virtual_time.py
@@ -1,6 +1,6 @@
 """Runs a small fleet in virtual time and checks its history.
 
-python examples/fleet_in_virtual_time.py
+Run it with ``python examples/fleet_in_virtual_time.py``.
 """
 
 import trio
--- a/src/tulippin/_soak.py
+++ b/src/tulippin/_soak.py
@@ -1,4 +1,4 @@
-"""Random faults over a whole fleet, with its history checked."""
+"""Random faults against a fleet under load, with its history checked."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong."""
+    """Kinds of faults that a scenario injects."""
 
     CRASH = 'crash'
     PAUSE = 'pause'
@@ -61,7 +61,10 @@
 
 @attrs.frozen
 class FaultStep:
-    """One fault: when, for how long, and to which of the candidates."""
+    """A fault with its time and duration.
+
+    ``target``, modulo their number, selects the process or worker.
+    """
 
     kind: FaultKind
     at_s: float
@@ -71,7 +74,7 @@
 
 @attrs.frozen
 class Scenario:
-    """A run: its seed, its faults and its size."""
+    """A soak run: its seed, its faults and the size of its fleet."""
 
     seed: int
     steps: tuple[FaultStep, ...]
@@ -82,30 +85,44 @@
 
 @attrs.define
 class SoakResult:
-    """What came of a run."""
+    """The result of a run.
+
+    Parameters
+    ----------
+    violations : list of Violation
+        Promises that the history breaks.
+    event_count, entry_count : int
+        Numbers of reduced events and of entries of the history.
+    outcomes : Counter of str
+        Requests by outcome.
+    unsettled : list of str
+        Accepted jobs that weren't finished when the settle limit passed.
+    late_answers : list of str
+        Requests that were answered after their deadline.
+    """
 
     violations: list[Violation]
     event_count: int
     entry_count: int
     outcomes: collections.Counter[str]
     unsettled: list[str]
-    hung: list[str]
+    late_answers: list[str]
 
     @property
-    def clean(self) -> bool:
-        """Tell whether nothing is wrong."""
-        return not (self.violations or self.unsettled or self.hung)
+    def is_clean(self) -> bool:
+        """Return whether the run had no failure of any kind."""
+        return not (self.violations or self.unsettled or self.late_answers)
 
     def render(self) -> str:
-        """Return what is wrong, a line each."""
+        """Return the failures, one per line."""
         lines = [violation.render() for violation in self.violations]
         lines.extend(f'not settled: {name}' for name in self.unsettled)
-        lines.extend(f'answered late: {name}' for name in self.hung)
+        lines.extend(f'answered late: {name}' for name in self.late_answers)
         return '\n'.join(lines)
 
 
 def make_scenario(seed: int, step_count: int = 6) -> Scenario:
-    """Return a scenario drawn from a seed, without hypothesis."""
+    """Return a random scenario that depends only on the arguments."""
     rng = random.Random(seed)
     kinds = list(FaultKind)
     steps = tuple(
@@ -122,7 +139,7 @@
 
 @attrs.define
 class _Soak:
-    """One run in progress."""
+    """A run in progress: its load, its faults and its counts."""
 
     fleet: Fleet
     scenario: Scenario
@@ -133,24 +150,24 @@
     )
     accepted: set[str] = attrs.field(factory=set)
     cancelled: set[str] = attrs.field(factory=set)
-    hung: list[str] = attrs.field(factory=list)
+    late_answers: list[str] = attrs.field(factory=list)
     job_count: int = 0
 
     # load
 
-    async def call(self, caller: int) -> None:
-        """Send requests, some of them again under the same id."""
+    async def send_requests(self, caller: int) -> None:
+        """Send requests until stopped, some of them twice under one id."""
         number = 0
         while not self.stopped:
             number += 1
             request_id = f'request-{caller}-{number}'
             repeatable = self.rng.random() < 0.5
-            again = 1 + (not repeatable and self.rng.random() < 0.3)
-            for _ in range(again):
-                await self._call_once(request_id, repeatable)
+            send_count = 1 + (not repeatable and self.rng.random() < 0.3)
+            for _ in range(send_count):
+                await self._send_request(request_id, repeatable)
             await trio.sleep(self.rng.random() * 0.2)
 
-    async def _call_once(self, request_id: str, repeatable: bool) -> None:
+    async def _send_request(self, request_id: str, repeatable: bool) -> None:
         if not self.fleet.iter_live():
             await trio.sleep(0.1)
             return
@@ -165,17 +182,17 @@
         if took_ms > _CALL_DEADLINE_MS + _ANSWER_SLACK_MS and not _was_paused(
             self.fleet, began_ms
         ):
-            self.hung.append(f'{request_id} after {took_ms} ms')
+            self.late_answers.append(f'{request_id} after {took_ms} ms')
         self.outcomes[outcome.kind.value] += 1
 
-    async def submit(self) -> None:
-        """Submit batch jobs of mixed sizes."""
+    async def submit_jobs(self) -> None:
+        """Submit batch jobs of mixed sizes until stopped."""
         while not self.stopped:
-            await self.submit_one(priority=0)
+            await self.submit_job(priority=0)
             await trio.sleep(1 + self.rng.random() * 3)
 
-    async def submit_one(self, priority: int) -> None:
-        """Submit one job and note whether it was accepted."""
+    async def submit_job(self, priority: int) -> None:
+        """Submit a random job and record its id if it is accepted."""
         self.job_count += 1
         spec = JobSpec(
             f'job-{self.job_count}',
@@ -196,24 +213,24 @@
 
     # faults
 
-    async def play(self, step: FaultStep) -> None:
-        """Cause one fault at its time and end it."""
+    async def inject_step(self, step: FaultStep) -> None:
+        """Wait for the time of a step, then inject its fault."""
         await trio.sleep(step.at_s)
-        await cause(step.kind, self, step)
+        await inject_fault(step.kind, self, step)
 
     def pick_process(self, step: FaultStep) -> Process | None:
-        """Return the process that a step is about."""
+        """Return the running process that a step targets, if any runs."""
         live = self.fleet.iter_live()
         return live[step.target % len(live)] if live else None
 
     def pick_worker(self, step: FaultStep) -> str:
-        """Return the worker that a step is about."""
+        """Return the id of the worker that a step targets."""
         names = sorted(self.fleet.workers)
         return names[step.target % len(names)]
 
-    async def cut(self, one: str, other: str, for_s: float) -> None:
-        """Cut two names off from each other for a while."""
-        pair = frozenset((one, other))
+    async def cut(self, name: str, other_name: str, for_s: float) -> None:
+        """Cut the network between two names for ``for_s``."""
+        pair = frozenset((name, other_name))
         for worker_id in self.fleet.workers:
             domain = self.fleet.network.domains[worker_id]
             if {worker_id, domain} & pair:
@@ -222,10 +239,13 @@
         await trio.sleep(for_s)
         self.fleet.network.faults.cut_pairs.discard(pair)
 
-    # the end
+    # settling
 
     async def settle(self) -> list[str]:
-        """End all faults and wait until all accepted work is done."""
+        """End all faults and wait until all accepted jobs are finished.
+
+        Return what is still unsettled when the limit has passed.
+        """
         fleet = self.fleet
         for store in (fleet.table, fleet.objects):
             store.faults = attrs.evolve(
@@ -265,17 +285,17 @@
             for body in answer.bodies
             for job in codec.decode(body, list[JobStatus])
         }
-        found = [
+        unsettled = [
             f'{name} is lost' for name in sorted(self.accepted - set(jobs))
         ]
         for name, job in sorted(jobs.items()):
             if job.spec.kind is JobKind.SERVICE:
                 continue
             if job.state not in {'done', 'cancelled'}:
-                found.append(f'{name} is {job.state}')
+                unsettled.append(f'{name} is {job.state}')
             elif job.state == 'done' and job.done_count < job.spec.task_count:
-                found.append(f'{name} did {job.done_count} tasks')
-        return found
+                unsettled.append(f'{name} did {job.done_count} tasks')
+        return unsettled
 
 
 def _was_paused(fleet: Fleet, since_ms: int) -> bool:
@@ -285,81 +305,83 @@
     )
 
 
-Cause = t.Callable[[_Soak, FaultStep], t.Awaitable[None]]
+Injector = t.Callable[[_Soak, FaultStep], t.Awaitable[None]]
 
-_CAUSES: dict[FaultKind, Cause] = {}
+_INJECTORS: dict[FaultKind, Injector] = {}
 
 
-def _causes(kind: FaultKind) -> t.Callable[[Cause], Cause]:
-    def register(function: Cause) -> Cause:
-        _CAUSES[kind] = function
+def _injects(kind: FaultKind) -> t.Callable[[Injector], Injector]:
+    def register(function: Injector) -> Injector:
+        _INJECTORS[kind] = function
         return function
 
     return register
 
 
-async def cause(kind: FaultKind, soak: _Soak, step: FaultStep) -> None:
-    """Cause one fault."""
-    await _CAUSES[kind](soak, step)
+async def inject_fault(kind: FaultKind, soak: _Soak, step: FaultStep) -> None:
+    """Inject a fault and end it after its duration."""
+    await _INJECTORS[kind](soak, step)
 
 
-@_causes(FaultKind.CRASH)
+@_injects(FaultKind.CRASH)
 async def _crash(soak: _Soak, step: FaultStep) -> None:
     process = soak.pick_process(step)
     if process is None:
         return
     soak.fleet.crash(process.instance_id)
     await process.ended.wait()
-    await _start_again(soak, process, step)
+    await _restart_instance(soak, process, step)
 
 
-async def _start_again(soak: _Soak, process: Process, step: FaultStep) -> None:
-    """Start an instance after its fault, unless it has come back by then."""
+async def _restart_instance(
+    soak: _Soak, process: Process, step: FaultStep
+) -> None:
+    """Start an instance after its fault, unless it runs again already."""
     await trio.sleep(step.for_s)
     if soak.fleet.find_process(process.instance_id) is None:
         soak.fleet.start_instance(process.instance_id)
 
 
-@_causes(FaultKind.STOP)
+@_injects(FaultKind.STOP)
 async def _stop(soak: _Soak, step: FaultStep) -> None:
     process = soak.pick_process(step)
     if process is None:
         return
     await soak.fleet.stop(process.instance_id)
-    await _start_again(soak, process, step)
+    await _restart_instance(soak, process, step)
 
 
-@_causes(FaultKind.PAUSE)
+@_injects(FaultKind.PAUSE)
 async def _pause(soak: _Soak, step: FaultStep) -> None:
     process = soak.pick_process(step)
     if process is not None:
         await soak.fleet.pause(process.instance_id, step.for_s)
 
 
-@_causes(FaultKind.PEERS_CUT)
+@_injects(FaultKind.PEERS_CUT)
 async def _cut_peers(soak: _Soak, step: FaultStep) -> None:
     count = soak.scenario.size.instance_count
-    one, other = step.target % count, (step.target // count) % count
-    await soak.cut(f'instance-{one}', f'instance-{other}', step.for_s)
+    number, other_number = step.target % count, (step.target // count) % count
+    await soak.cut(f'instance-{number}', f'instance-{other_number}', step.for_s)
 
 
-@_causes(FaultKind.WORKER_CUT)
+@_injects(FaultKind.WORKER_CUT)
 async def _cut_worker(soak: _Soak, step: FaultStep) -> None:
     worker_id = soak.pick_worker(step)
     async with trio.open_nursery() as nursery:
-        spared = None if step.target % 2 else step.target % 3
+        connected = None if step.target % 2 else step.target % 3
         for number in range(soak.scenario.size.instance_count):
-            if number != spared:
+            if number != connected:
                 nursery.start_soon(
                     soak.cut, f'instance-{number}', worker_id, step.for_s
                 )
 
 
-@_causes(FaultKind.DOMAIN_CUT)
+@_injects(FaultKind.DOMAIN_CUT)
 async def _cut_domain(soak: _Soak, step: FaultStep) -> None:
-    one = f'domain-{step.target % 3}'
-    other = f'domain-{(step.target + 1) % 3}'
-    await soak.cut(one, other, step.for_s)
+    domain = f'domain-{step.target % 3}'
+    next_domain = f'domain-{(step.target + 1) % 3}'
+    await soak.cut(domain, next_domain, step.for_s)
 
 
 async def _set_stores(soak: _Soak, step: FaultStep, **changes: t.Any) -> None:
@@ -368,51 +390,53 @@
         'disturbed',
         until_ms=soak.fleet.get_now_ms() + int(step.for_s * 1000),
     )
-    olds = []
+    previous_values = []
     for store in stores:
-        olds.append({name: getattr(store.faults, name) for name in changes})
+        previous_values.append(
+            {name: getattr(store.faults, name) for name in changes}
+        )
         for name, value in changes.items():
             setattr(store.faults, name, value)
     await trio.sleep(step.for_s)
-    for store, old in zip(stores, olds, strict=True):
-        for name, value in old.items():
+    for store, previous in zip(stores, previous_values, strict=True):
+        for name, value in previous.items():
             setattr(store.faults, name, value)
 
 
-@_causes(FaultKind.STORE_DOWN)
-async def _down_store(soak: _Soak, step: FaultStep) -> None:
+@_injects(FaultKind.STORE_DOWN)
+async def _take_down_store(soak: _Soak, step: FaultStep) -> None:
     await _set_stores(soak, step, down=True)
 
 
-@_causes(FaultKind.STORE_SLOW)
+@_injects(FaultKind.STORE_SLOW)
 async def _slow_store(soak: _Soak, step: FaultStep) -> None:
     await _set_stores(soak, step, delay_s=0.2 + step.target % 30 / 10)
 
 
-@_causes(FaultKind.LOST_ANSWERS)
+@_injects(FaultKind.LOST_ANSWERS)
 async def _lose_answers(soak: _Soak, step: FaultStep) -> None:
     await _set_stores(soak, step, lost_answer_share=0.2, lost_call_share=0.2)
 
 
-@_causes(FaultKind.STORE_CUT)
+@_injects(FaultKind.STORE_CUT)
 async def _cut_store(soak: _Soak, step: FaultStep) -> None:
     process = soak.pick_process(step)
     if process is None:
         return
-    name = process.instance_id
+    instance_id = process.instance_id
     soak.fleet.history.note(
         'disturbed',
         until_ms=soak.fleet.get_now_ms() + int(step.for_s * 1000),
     )
     for store in (soak.fleet.table, soak.fleet.objects):
-        store.faults.cut_off.add(name)
+        store.faults.cut_off.add(instance_id)
     await trio.sleep(step.for_s)
     for store in (soak.fleet.table, soak.fleet.objects):
-        store.faults.cut_off.discard(name)
+        store.faults.cut_off.discard(instance_id)
 
 
-@_causes(FaultKind.NETWORK_NOISE)
-async def _make_noise(soak: _Soak, step: FaultStep) -> None:
+@_injects(FaultKind.NETWORK_NOISE)
+async def _disturb_network(soak: _Soak, step: FaultStep) -> None:
     faults = soak.fleet.network.faults
     faults.duplicate_share, faults.late_share = 0.2, 0.05
     faults.lost_share = 0.03
@@ -420,7 +444,7 @@
     faults.duplicate_share = faults.late_share = faults.lost_share = 0
 
 
-@_causes(FaultKind.WORKER_CRASH)
+@_injects(FaultKind.WORKER_CRASH)
 async def _crash_worker(soak: _Soak, step: FaultStep) -> None:
     worker = soak.fleet.workers[soak.pick_worker(step)]
     if worker.alive:
@@ -430,7 +454,7 @@
         worker.restart(f'after-{step.at_s}')
 
 
-@_causes(FaultKind.WORKER_FAILS)
+@_injects(FaultKind.WORKER_FAILS)
 async def _fail_worker(soak: _Soak, step: FaultStep) -> None:
     worker = soak.fleet.workers[soak.pick_worker(step)]
     worker.faults.fails_everything = True
@@ -438,8 +462,8 @@
     worker.faults.fails_everything = False
 
 
-@_causes(FaultKind.WORKER_LEAVES)
-async def _leave_worker(soak: _Soak, step: FaultStep) -> None:
+@_injects(FaultKind.WORKER_LEAVES)
+async def _mark_worker_leaving(soak: _Soak, step: FaultStep) -> None:
     fleet = soak.fleet
     worker_id = soak.pick_worker(step)
     fleet.directory.set_standing(worker_id, WorkerStanding.LEAVING)
@@ -447,8 +471,8 @@
     fleet.directory.set_standing(worker_id, WorkerStanding.LIVE)
 
 
-@_causes(FaultKind.BAD_ANSWERS)
-async def _spoil_answers(soak: _Soak, step: FaultStep) -> None:
+@_injects(FaultKind.BAD_ANSWERS)
+async def _corrupt_answers(soak: _Soak, step: FaultStep) -> None:
     worker = soak.fleet.workers[soak.pick_worker(step)]
     faults = worker.faults
     faults.swap_share = faults.truncate_share = faults.break_share = 0.1
@@ -458,25 +482,25 @@
     faults.late_share = 0
 
 
-@_causes(FaultKind.CANCEL)
+@_injects(FaultKind.CANCEL)
 async def _cancel(soak: _Soak, step: FaultStep) -> None:
     process = soak.pick_process(step)
-    names = sorted(soak.accepted - soak.cancelled)
-    if process is None or not names:
+    job_ids = sorted(soak.accepted - soak.cancelled)
+    if process is None or not job_ids:
         return
-    for name in names[-3:]:
-        soak.cancelled.add(name)
+    for job_id in job_ids[-3:]:
+        soak.cancelled.add(job_id)
         with trio.move_on_after(_JOB_DEADLINE_MS / 1000):
             if process.shell is not None:
-                await process.shell.operate_job('cancel', name)
+                await process.shell.operate_job('cancel', job_id)
 
 
-@_causes(FaultKind.URGENT)
+@_injects(FaultKind.URGENT)
 async def _submit_urgent(soak: _Soak, step: FaultStep) -> None:
-    await soak.submit_one(URGENT_PRIORITY)
+    await soak.submit_job(URGENT_PRIORITY)
 
 
-@_causes(FaultKind.BUNDLE_RACE)
+@_injects(FaultKind.BUNDLE_RACE)
 async def _race_bundles(soak: _Soak, step: FaultStep) -> None:
     async def roll(name: str) -> None:
         try:
@@ -492,7 +516,7 @@
 async def run_scenario(
     scenario: Scenario, overrides: t.Mapping[str, t.Any] | None = None
 ) -> SoakResult:
-    """Run a scenario under whatever clock trio has, and check it."""
+    """Run a scenario under the current clock of trio; return its result."""
     rng = random.Random(scenario.seed)
     fleet = Fleet(scenario.size, scenario.seed, overrides)
     async with fleet:
@@ -512,10 +536,10 @@
         )
         async with trio.open_nursery() as nursery:
             for caller in range(scenario.caller_count):
-                nursery.start_soon(soak.call, caller)
-            nursery.start_soon(soak.submit)
+                nursery.start_soon(soak.send_requests, caller)
+            nursery.start_soon(soak.submit_jobs)
             for step in scenario.steps:
-                nursery.start_soon(soak.play, step)
+                nursery.start_soon(soak.inject_step, step)
             await trio.sleep(scenario.run_s)
             soak.stopped = True
         unsettled = await soak.settle()
@@ -526,5 +550,5 @@
         len(fleet.history.entries),
         soak.outcomes,
         unsettled,
-        soak.hung,
+        soak.late_answers,
     )
--- a/src/tulippin/demo.py
+++ b/src/tulippin/demo.py
@@ -1,4 +1,9 @@
-"""The demonstration: the whole path over stand-ins on loopback."""
+"""The ``tulippin demo`` command: daemons under load on loopback.
+
+Three daemons run over a stand-in platform and workers, serve requests and
+run batch jobs while a trial compares two policies. The history is checked
+at the end.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +27,13 @@
 from tulippin.stats import Comparison
 from tulippin.types import SERVICE_PRIORITY, JobKind, JobSpec, Resources
 
-_INSTANCES: t.Final = 3
-_CALLERS: t.Final = 4
-_READY_LIMIT_S: t.Final = 20.0
-_PAUSE_S: t.Final = 0.05
+_INSTANCE_COUNT: t.Final = 3
+_CALLER_COUNT: t.Final = 4
+_WAIT_LIMIT_S: t.Final = 20.0
+_POLL_INTERVAL_S: t.Final = 0.05
 _SERVICE: t.Final = 'alerts'
 _OK: t.Final = 200
-_FIRST_ERROR: t.Final = 400
+_MIN_ERROR_STATUS: t.Final = 400
 
 _BUNDLE: t.Final = """\
 [bundle]
@@ -56,7 +61,7 @@
 
 @attrs.frozen
 class DemoResult:
-    """What the demonstration found."""
+    """The comparison of the trial, its report and the violations."""
 
     comparison: Comparison
     html: str
@@ -66,11 +71,11 @@
 
 @attrs.define
 class _Demo:
-    """One run of the demonstration."""
+    """A run of the demo: its daemons, its operators' keys and its counts."""
 
     standins: Standins
     client: HttpClient
-    say: t.Callable[[str], None]
+    report_line: t.Callable[[str], None]
     daemons: list[Daemon] = attrs.field(factory=list)
     keys: dict[str, tuple[str, str]] = attrs.field(factory=dict)
     statuses: collections.Counter[int] = attrs.field(
@@ -82,7 +87,7 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Start the instances and wait until they are ready."""
         self.keys = {name: make_key() for name in ('alice', 'bob')}
-        for number in range(_INSTANCES):
+        for number in range(_INSTANCE_COUNT):
             text = render_settings(
                 number,
                 self.standins.url,
@@ -96,10 +101,10 @@
             self.standins.history.note('instance_up', process=instance_id)
             await nursery.start(daemon.run)
         self.standins.directory.publish()
-        with trio.fail_after(_READY_LIMIT_S):
+        with trio.fail_after(_WAIT_LIMIT_S):
             while any(daemon.get_unready() for daemon in self.daemons):
-                await trio.sleep(_PAUSE_S)
-        self.say(f'{_INSTANCES} instances are ready')
+                await trio.sleep(_POLL_INTERVAL_S)
+        self.report_line(f'{_INSTANCE_COUNT} instances are ready')
 
     async def send(
         self, port: int, method: str, path: str, body: t.Any = None
@@ -115,47 +120,47 @@
     async def send_checked(
         self, port: int, method: str, path: str, body: t.Any = None
     ) -> bytes:
-        """Send a request that must succeed."""
+        """Send a request; raise ``TulippinError`` if it fails."""
         status, content = await self.send(port, method, path, body)
-        if status >= _FIRST_ERROR:
+        if status >= _MIN_ERROR_STATUS:
             raise TulippinError(f'{method} {path}: {status} {content!r}')
         return content
 
     async def roll(self, text: str) -> None:
-        """Take a bundle through propose, approve and roll."""
+        """Propose, approve and roll a bundle; wait until all have taken it."""
         digest = compute_digest(text)
         steps = (
             ('', 'alice', 'propose', 0),
             ('/1/approve', 'bob', 'approve', 1),
             ('/1/roll', 'alice', 'roll', 1),
         )
-        for place, (path, operator, action, number) in enumerate(steps):
+        for position, (path, operator, action, number) in enumerate(steps):
             private = self.keys[operator][0]
             signed = sign(private, operator, action, number, digest)
             body = {'operator': operator, 'signature': signed.signature}
             if not path:
                 body['text'] = text
-            port = self.daemons[place % len(self.daemons)].operators_port
+            port = self.daemons[position % len(self.daemons)].operators_port
             await self.send_checked(port, 'POST', f'/v1/bundles{path}', body)
         self.standins.history.note('bundle_accepted', number=1)
-        with trio.fail_after(_READY_LIMIT_S):
+        with trio.fail_after(_WAIT_LIMIT_S):
             for daemon in self.daemons:
                 while daemon.shell.state.bundle_number < 1:
-                    await trio.sleep(_PAUSE_S)
+                    await trio.sleep(_POLL_INTERVAL_S)
                 self.standins.history.note(
                     'bundle_taken',
                     process=daemon.settings.config.instance_id,
                     number=1,
                 )
-        self.say('bundle 1 is approved, rolled and held by all')
+        self.report_line('bundle 1 is approved, rolled and held by all')
 
     async def submit(self, body: JobSpec) -> None:
-        """Submit a job to some instance."""
+        """Submit a job to a random instance."""
         port = random.choice(self.daemons).callers_port
         await self.send_checked(port, 'POST', '/v1/jobs', body)
 
-    async def call_forever(self, number: int) -> None:
-        """Send requests one after another until stopped."""
+    async def send_requests(self, number: int) -> None:
+        """Send requests one after the other until stopped."""
         history = self.standins.history
         while not self.stopped:
             self.request_count += 1
@@ -182,8 +187,11 @@
                 expected=f'{_SERVICE}:{request_id}:hello',
             )
 
-    async def submit_forever(self) -> None:
-        """Keep batch work of a calm and of a noisy kind coming."""
+    async def submit_jobs(self) -> None:
+        """Submit batch jobs of two classes in turn, until stopped.
+
+        Jobs of class ``noisy`` slow the service, those of ``calm`` hardly.
+        """
         number = 0
         while not self.stopped:
             number += 1
@@ -201,14 +209,16 @@
             await trio.sleep(0.8)
 
 
-async def run_demo(seconds: int, say: t.Callable[[str], None]) -> DemoResult:
-    """Run the demonstration for some seconds of load.
+async def run_demo(
+    seconds: int, report_line: t.Callable[[str], None]
+) -> DemoResult:
+    """Run the demo with ``seconds`` of load.
 
     Parameters
     ----------
     seconds : int
-        How long load comes.
-    say : callable
+        Duration of the load.
+    report_line : callable
         Called with each line of progress.
     """
     async with Standins() as standins, HttpClient() as client:
@@ -216,7 +226,7 @@
             worker.slowdowns['alerts', 'noisy'] = 0.8
             worker.slowdowns['alerts', 'calm'] = 0.02
             worker.faults.report_lag_ms = 2000
-        demo = _Demo(standins, client, say)
+        demo = _Demo(standins, client, report_line)
         async with trio.open_nursery() as nursery:
             await demo.start(nursery)
             result = await _run_load(demo, seconds)
@@ -238,16 +248,16 @@
             priority=SERVICE_PRIORITY,
         )
     )
-    demo.say(f'service {_SERVICE} submitted; load for {seconds} s')
+    demo.report_line(f'service {_SERVICE} submitted; load for {seconds} s')
     await trio.sleep(1)
     async with trio.open_nursery() as nursery:
-        for number in range(_CALLERS):
-            nursery.start_soon(demo.call_forever, number)
-        nursery.start_soon(demo.submit_forever)
+        for number in range(_CALLER_COUNT):
+            nursery.start_soon(demo.send_requests, number)
+        nursery.start_soon(demo.submit_jobs)
         for second in range(seconds):
             await trio.sleep(1)
             if second % 5 == 4:
-                demo.say(
+                demo.report_line(
                     f'  {second + 1} s: {sum(demo.statuses.values())}'
                     f' requests, statuses {dict(demo.statuses)}'
                 )
--- a/tests/tulippin/test_history.py
+++ b/tests/tulippin/test_history.py
@@ -1,4 +1,4 @@
-"""Every checker objects to a history that breaks its promise."""
+"""Each checker reports a history that breaks its promise."""
 
 import pytest
 
@@ -119,7 +119,7 @@
     ),
 ]
 
-SOUND = [
+VALID = [
     [WORKER, began(), ended(), began(task='job/1'), ended(task='job/1')],
     [
         began(),
@@ -147,7 +147,7 @@
 
 
 def make_history(steps):
-    """Record steps 100 ms apart; ``None`` only lets time pass."""
+    """Record steps 100 ms apart; ``None`` advances the time by 100 ms."""
     times = iter(range(0, 100000, 100))
     history = History(lambda: next(times))
     for step in steps:
@@ -159,13 +159,13 @@
 
 
 @pytest.mark.parametrize(('promise', 'steps'), BROKEN)
-def test_checker_objects_to_a_broken_history(promise, steps):
-    found = check_history(make_history(steps))
-    assert {violation.promise for violation in found} == {promise}
+def test_checker_reports_a_broken_history(promise, steps):
+    violations = check_history(make_history(steps))
+    assert {violation.promise for violation in violations} == {promise}
 
 
-@pytest.mark.parametrize('steps', SOUND)
-def test_checkers_accept_a_sound_history(steps):
+@pytest.mark.parametrize('steps', VALID)
+def test_checkers_accept_a_valid_history(steps):
     assert not check_history(make_history(steps))
 
 
--- a/tests/tulippin/test_promises.py
+++ b/tests/tulippin/test_promises.py
@@ -1,4 +1,4 @@
-"""Each promise holds, and is seen broken when its safeguard is off."""
+"""Each promise holds, and its checker reports a disabled safeguard."""
 
 import pytest
 import trio
@@ -59,10 +59,10 @@
 
 def count_endpoints(fleet):
     return sum(
-        len(found)
+        len(endpoints)
         for process in fleet.iter_live()
         for cell in process.shell.state.cells.values()
-        for found in cell.endpoints.values()
+        for endpoints in cell.endpoints.values()
     )
 
 
@@ -76,8 +76,8 @@
 
 def find_owner(fleet, unit):
     for process in fleet.iter_live():
-        found = process.shell.state.get_unit(unit)
-        if found is not None and found.phase.value == 'active':
+        unit_state = process.shell.state.get_unit(unit)
+        if unit_state is not None and unit_state.phase.value == 'active':
             return process
     return None
 
@@ -87,7 +87,7 @@
     await trio.sleep(10)
 
 
-async def lose_sight_of_worker(fleet):
+async def cut_off_worker(fleet):
     await fleet.submit_surely(make_batch('long', run_ms=60000))
     await fleet.wait_for(lambda: find_worker_running(fleet, 'long/0'))
     await trio.sleep(2.5)
@@ -111,7 +111,7 @@
     )
 
 
-async def mix_up_answers(fleet):
+async def corrupt_answers(fleet):
     await start_service(fleet)
     for worker in fleet.workers.values():
         worker.faults.swap_share = 0.3
@@ -134,21 +134,21 @@
         await fleet.request('alerts', request_id='same', repeatable=False)
 
 
-async def lose_journal_rows(fleet):
-    """Lose a journal write, kill its writer, and send the id again."""
+async def lose_journal_write(fleet):
+    """Lose a journal write, crash its writer and send the same id again."""
     await start_service(fleet)
     unit = find_range(fleet, 'ticket')
     owner = find_owner(fleet, unit)
     fleet.table.faults.lost_call_share = 1.0
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(send_ticket, fleet)
+        nursery.start_soon(send_non_repeatable, fleet)
         await trio.sleep(1)
         fleet.crash(owner.instance_id)
         fleet.table.faults.lost_call_share = 0.0
     await trio.sleep(10)
     assert find_owner(fleet, unit) is not None
     for _ in range(3):
-        await send_ticket(fleet)
+        await send_non_repeatable(fleet)
 
 
 def find_range(fleet, request_id):
@@ -157,16 +157,17 @@
     return get_range(request_id, fleet.overrides['range_count'])
 
 
-async def send_ticket(fleet, request_id='ticket'):
+async def send_non_repeatable(fleet, request_id='ticket'):
     await fleet.request(
         'alerts', request_id=request_id, repeatable=False, deadline_ms=3000
     )
 
 
-async def wake_paused_owner(fleet):
-    """Send an id to a successor, then to the owner that was paused.
+async def resume_paused_owner(fleet):
+    """Send a request to a range's new owner, then to the paused old one.
 
-    The owner holds ranges and no cell: those its workers would fence.
+    The old owner has ranges but no cells, as workers would fence the
+    requests of cells.
     """
     await start_service(fleet, tasks=4)
     owner = next(
@@ -184,27 +185,31 @@
     await fleet.wait_for(lambda: find_successor(fleet, unit, owner))
     await trio.sleep(2)
     successor = find_successor(fleet, unit, owner)
-    await send_ticket_to(fleet, successor, request_id)
+    await send_non_repeatable_to(fleet, successor, request_id)
     owner.gate.open()
-    await send_ticket_to(fleet, owner, request_id)
+    await send_non_repeatable_to(fleet, owner, request_id)
     await trio.sleep(3)
 
 
 def find_successor(fleet, unit, owner):
     for process in fleet.iter_live():
-        found = process.shell.state.get_unit(unit)
-        if process is not owner and found and found.phase.value == 'active':
+        unit_state = process.shell.state.get_unit(unit)
+        if (
+            process is not owner
+            and unit_state
+            and unit_state.phase.value == 'active'
+        ):
             return process
     return None
 
 
-async def send_ticket_to(fleet, process, request_id):
+async def send_non_repeatable_to(fleet, process, request_id):
     fleet.rng.choice, choice = lambda _: process, fleet.rng.choice
-    await send_ticket(fleet, request_id)
+    await send_non_repeatable(fleet, request_id)
     fleet.rng.choice = choice
 
 
-async def leave_worker(fleet):
+async def mark_worker_leaving(fleet):
     await start_service(fleet, tasks=4)
     await fleet.submit_surely(make_batch('filler', 40, 1000, cpu=500))
     worker_id = min(fleet.workers)
@@ -249,20 +254,20 @@
 
 CASES = [
     ('capacity', 'capacity', overload_cells),
-    ('single_place', 'lease_wait', lose_sight_of_worker),
+    ('single_place', 'lease_wait', cut_off_worker),
     ('resume_once', 'checkpoints', evict_for_urgent_work),
-    ('whole_answer', 'answer_match', mix_up_answers),
+    ('whole_answer', 'answer_match', corrupt_answers),
     ('not_run', 'not_run_proof', break_connections),
     ('at_most_once', 'deduplication', repeat_request_id),
-    ('at_most_once', 'read_back', lose_journal_rows),
-    ('at_most_once', 'fencing', wake_paused_owner),
-    ('leaving', 'drain', leave_worker),
+    ('at_most_once', 'read_back', lose_journal_write),
+    ('at_most_once', 'fencing', resume_paused_owner),
+    ('leaving', 'drain', mark_worker_leaving),
     ('planned_stop', 'stop_drain', stop_instances),
     ('bundle', 'bundle_order', send_old_bundle),
 ]
 
 
-async def play(scenario, seams):
+async def run_fleet(scenario, seams):
     async with Fleet(SMALL, seed=5, overrides={'seams': seams}) as fleet:
         assert await fleet.wait_ready()
         await scenario(fleet)
@@ -271,15 +276,17 @@
 
 @pytest.mark.parametrize(('promise', 'seam', 'scenario'), CASES)
 def test_promise_holds(run_virtual, promise, seam, scenario):
-    history = run_virtual(play, scenario, Seams())
+    history = run_virtual(run_fleet, scenario, Seams())
     for name, checker in CHECKERS.items():
-        found = [violation.render() for violation in checker(history)]
-        assert not found, f'{name}, expected to prove {promise}'
+        violations = [violation.render() for violation in checker(history)]
+        assert not violations, f'{name}, expected to prove {promise}'
 
 
 @pytest.mark.parametrize(('promise', 'seam', 'scenario'), CASES)
-def test_checker_sees_the_planted_fault(run_virtual, promise, seam, scenario):
-    history = run_virtual(play, scenario, Seams(**{seam: False}))
+def test_checker_reports_a_missing_safeguard(
+    run_virtual, promise, seam, scenario
+):
+    history = run_virtual(run_fleet, scenario, Seams(**{seam: False}))
     assert CHECKERS[promise](history)
 
 
--- a/tests/tulippin/test_soak.py
+++ b/tests/tulippin/test_soak.py
@@ -1,4 +1,4 @@
-"""Random faults, alone and two at a time, and a few long hardships."""
+"""Random faults, alone and in pairs, long outages and heavy load."""
 
 import collections
 
@@ -20,19 +20,30 @@
 )
 from tulippin.types import SERVICE_PRIORITY, JobKind, JobSpec, Resources
 
-TIMES = st.integers(2, 25).map(float)
-LENGTHS = st.sampled_from([0.5, 3.0, 8.0, 16.0])
+START_TIMES = st.integers(2, 25).map(float)
+DURATIONS = st.sampled_from([0.5, 3.0, 8.0, 16.0])
 STEPS = st.builds(
-    FaultStep, st.sampled_from(FaultKind), TIMES, LENGTHS, st.integers(0, 99)
+    FaultStep,
+    st.sampled_from(FaultKind),
+    START_TIMES,
+    DURATIONS,
+    st.integers(0, 99),
 )
 
-# Seeds that once failed, with the number of their faults.
-FAILED = [(107, 6), (1006, 6), (5010, 6), (12007, 8), (23034, 8), (26000, 8)]
+# Seeds of earlier failures, each with its number of faults.
+REGRESSIONS = [
+    (107, 6),
+    (1006, 6),
+    (5010, 6),
+    (12007, 8),
+    (23034, 8),
+    (26000, 8),
+]
 
 
-def play(run_virtual, scenario):
+def run_clean(run_virtual, scenario):
     result = run_virtual(run_scenario, scenario, seed=scenario.seed)
-    assert result.clean, result.render()
+    assert result.is_clean, result.render()
     return result
 
 
@@ -43,13 +54,13 @@
 @given(steps=st.lists(STEPS, min_size=1, max_size=2), seed=st.integers(0, 999))
 def test_faults_alone_and_two_at_a_time(run_virtual, steps, seed):
     scenario = Scenario(seed, tuple(steps), 32.0, FleetSize(3, 2, 2), 2)
-    result = play(run_virtual, scenario)
+    result = run_clean(run_virtual, scenario)
     assert result.outcomes['answered'] > 50
 
 
-@pytest.mark.parametrize(('seed', 'step_count'), FAILED)
-def test_seeds_that_once_failed(run_virtual, seed, step_count):
-    play(run_virtual, make_scenario(seed, step_count))
+@pytest.mark.parametrize(('seed', 'step_count'), REGRESSIONS)
+def test_regression_seeds(run_virtual, seed, step_count):
+    run_clean(run_virtual, make_scenario(seed, step_count))
 
 
 def make_service(tasks=2):
@@ -143,7 +154,7 @@
                 lambda: count_running(fleet) == 10000, 200
             )
             for process in fleet.iter_live():
-                count_stops(process.shell, stops)
+                record_stops(process.shell, stops)
             await fleet.iter_live()[0].shell.operate_job('cancel', 'wave')
             await wait_state(fleet, 'wave', 'cancelled')
             job = await get_job(fleet, 'wave')
@@ -166,11 +177,11 @@
     )
 
 
-def count_stops(shell, stops):
-    inner = shell._recorder
+def record_stops(shell, stops):
+    inner_recorder = shell._recorder
 
     def record(event, effects):
-        inner(event, effects)
+        inner_recorder(event, effects)
         for effect in effects:
             if isinstance(effect, SyncWorker):
                 sync = effect.sync
@@ -226,7 +237,8 @@
                 )
                 outcomes[answer.kind.value] += 1
                 await trio.sleep(2)
-            # A range across the cut is refused at once; all else answers.
+            # Requests for a range across the cut are refused immediately; all
+            # others are answered.
             assert outcomes['answered'] >= 60
             assert outcomes['unknown'] <= 3
             fleet.network.faults.cut_pairs.clear()
@@ -297,7 +309,7 @@
 
 
 def test_units_move_without_a_gap_in_service(run_virtual):
-    """Instances join, leave and come back under load: all is answered."""
+    """All requests are answered while instances join, leave and return."""
 
     async def run():
         outcomes = collections.Counter()
@@ -338,7 +350,10 @@
 
 
 def test_table_traffic_of_nine_instances_keeps_its_budget(run_virtual):
-    """The rows' rate hangs on the instances, not on workers or tasks."""
+    """Table traffic depends on the number of instances only.
+
+    Neither workers nor tasks add rows to it.
+    """
 
     async def run():
         size = FleetSize(9, 9, 8, Resources(64000, 256000), domain_count=6)
