--- a/bench/policies.py
+++ b/bench/policies.py
@@ -338,10 +338,10 @@
                 label = f'{name}, {scenario.name}'
                 if options.only not in label:
                     continue
-                keys = [(one, seed) for one in POLICIES for seed in seeds]
+                keys = [(policy, seed) for policy in POLICIES for seed in seeds]
                 tasks = [
-                    (one, name, scenario, seed, options.seconds, options.set)
-                    for one, seed in keys
+                    (policy, name, scenario, seed, options.seconds, options.set)
+                    for policy, seed in keys
                 ]
                 results = dict(
                     zip(keys, pool.map(run_in_process, tasks), strict=True)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -83,10 +83,10 @@
 def measure_memory_bytes(make, count):
     gc.collect()
     tracemalloc.start()
-    kept = [make(number) for number in range(count)]
+    retained = [make(number) for number in range(count)]
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert len(kept) == count
+    assert len(retained) == count
     return size / count
 
 
@@ -201,22 +201,26 @@
     print(
         f'  gossip: {compute_slope(measure_gossip_bytes, 2, 15):.0f} B a cell'
     )
-    cpu, size = measure_envelope(300)
-    print(f'  peer message: {size:.0f} B, {cpu:.1f} us CPU both sides')
+    cpu_us, size = measure_envelope(300)
+    print(f'  peer message: {size:.0f} B, {cpu_us:.1f} us CPU both sides')
     print(
         f'  five records of a task: {measure_record_bytes()} B in the journal'
     )
-    size, spent = measure_snapshot(3000)
-    print(f'  snapshot: {size / 3000:.0f} B, {spent:.1f} ms for 3,000 attempts')
+    size, spent_ms = measure_snapshot(3000)
+    print(
+        f'  snapshot: {size / 3000:.0f} B, {spent_ms:.1f} ms for 3,000 attempts'
+    )
     print('memory of an owner')
     print(f'  attempt: {measure_memory_bytes(make_entry, 5000):.0f} B')
-    kept = measure_memory_bytes(
+    request_bytes = measure_memory_bytes(
         lambda n: (f'r{n}', RequestEntry('d' * 64, n, OutcomeKind.ANSWERED)),
         5000,
     )
-    print(f'  non-repeatable request kept: {kept:.0f} B and its answer')
-    spent = await measure_http_sync_ms(300)
-    print(f'sync by HTTP, both sides in one process: {spent:.2f} ms CPU')
+    print(
+        f'  non-repeatable request kept: {request_bytes:.0f} B and its answer'
+    )
+    spent_ms = await measure_http_sync_ms(300)
+    print(f'sync by HTTP, both sides in one process: {spent_ms:.2f} ms CPU')
 
 
 if __name__ == '__main__':
--- a/src/tulippin/_fake_network.py
+++ b/src/tulippin/_fake_network.py
@@ -47,10 +47,10 @@
     faults: NetworkFaults = attrs.field(factory=NetworkFaults)
     domains: dict[str, str] = attrs.field(factory=dict)
 
-    def is_cut(self, one: str, other: str) -> bool:
+    def is_cut(self, name: str, other_name: str) -> bool:
         """Tell whether two names cannot reach each other."""
-        names = {one, self.domains.get(one, one)}
-        other_names = {other, self.domains.get(other, other)}
+        names = {name, self.domains.get(name, name)}
+        other_names = {other_name, self.domains.get(other_name, other_name)}
         return any(
             frozenset((first, second)) in self.faults.cut_pairs
             for first in names
--- a/tests/tulippin/test_soak.py
+++ b/tests/tulippin/test_soak.py
@@ -111,8 +111,8 @@
             for number in range(120):
                 answer = await fleet.request('alerts')
                 outcomes[answer.kind.value] += 1
-                once = await fleet.request('alerts', repeatable=False)
-                outcomes[f'once {once.code}'] += 1
+                non_repeatable = await fleet.request('alerts', repeatable=False)
+                outcomes[f'once {non_repeatable.code}'] += 1
                 code = await fleet.submit(JobSpec(f'new-{number}', 'team'))
                 outcomes[f'job {code}'] += 1
                 await trio.sleep(30)
