--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,7 +1,8 @@
-"""CPU of one placement by the number of tasks that run on each worker.
+"""CPU time of a placement by the number of tasks that run on each worker.
 
-One cell of 8 workers, as an owner of 138 cells over 9 instances has 15 of;
-prints the median and its slope, and the home's choice among 138 cells.
+Measures one cell of 8 workers; with 138 cells over 9 instances, an instance
+owns 15 or 16 of them. Prints medians and their slope, and the time in which a
+job's home unit chooses among 138 cells.
 """
 
 import random
@@ -10,7 +11,7 @@
 
 import attrs
 
-from tulippin import _homes, _placing, _worker_state
+from tulippin import _home_units, _placing, _worker_state
 from tulippin._context import Context
 from tulippin.bundles import parse_bundle
 from tulippin.ledger import AttemptEntry
@@ -31,7 +32,7 @@
         for number in range(8)
     )
     instance = SingleInstance(workers)
-    instance.greet_workers()
+    instance.answer_first_syncs()
     instance.state.bundle = parse_bundle(
         f'[bundle]\nname=x\n[policy p]\nkind={policy}\n'
     )
@@ -47,7 +48,7 @@
             cell.ledger.attempts[task.task_id] = AttemptEntry(
                 task, spec, worker.worker_id, 'one', SPEC.size
             )
-            _worker_state.hold(worker, task.task_id, spec, SPEC.size)
+            _worker_state.reserve(worker, task.task_id, spec, SPEC.size)
     return instance, cell
 
 
@@ -66,16 +67,16 @@
 def time_homes():
     instance = SingleInstance()
     context = Context(instance.state)
-    source = random.Random(1)
-    views = {}
+    rng = random.Random(1)
+    cell_views = {}
     for number in range(138):
-        free = Resources(source.randrange(10000), 10000)
+        free = Resources(rng.randrange(10000), 10000)
         summary = CellSummary(f'cell/{number}', 1, free, free, free)
-        views[summary.unit] = _homes.CellView(summary, free, free)
+        cell_views[summary.unit] = _home_units.CellView(summary, free, free)
     times = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        assert _homes.pick_cell(context, SPEC, views)
+        assert _home_units.pick_cell(context, SPEC, cell_views)
         times.append((time.perf_counter() - began) * 1e6)
     return statistics.median(times)
 
--- a/src/tulippin/_dropping.py
+++ b/src/tulippin/_unit_release.py
@@ -1,4 +1,4 @@
-"""Giving up a unit that another session owns, or will."""
+"""Release of the local state of a unit that this session lost."""
 
 from __future__ import annotations
 
@@ -8,9 +8,12 @@
 
 
 def drop_unit(context: Context, unit: UnitState) -> None:
-    """Stop acting for a unit that another session owns, or will."""
+    """Remove a lost unit, its requests and its pending records.
+
+    Records in flight remain counted until their commit is answered.
+    """
     state = context.state
-    _requests.leave_unit(context, unit)
+    _requests.end_unit_requests(context, unit)
     if isinstance(unit, CellState):
         state.cells.pop(unit.unit, None)
     else:
@@ -19,6 +22,6 @@
     journal.pending = [
         entry for entry in journal.pending if entry.unit != unit.unit
     ]
-    journal.unit_counts[unit.unit] = sum(
+    journal.uncommitted_counts[unit.unit] = sum(
         entry.unit == unit.unit for entry in journal.in_flight
     )
--- a/src/tulippin/_workers.py
+++ b/src/tulippin/_workers.py
@@ -1,14 +1,18 @@
-"""Workers of owned cells: syncs, reports, leases and lost workers."""
+"""Protocol with the workers of owned cells.
+
+Sends syncs with leases, starts and stops, reconciles the reports with the
+cell's ledger, and ends the attempts of lost workers.
+"""
 
 from __future__ import annotations
 
 import typing as t
 
-from tulippin import _pressure, _requests, _worker_state
+from tulippin import _interference_control, _requests, _worker_state
 from tulippin import effects as fx
 from tulippin._context import Context
 from tulippin._dispatch import handle
-from tulippin._dropping import drop_unit
+from tulippin._unit_release import drop_unit
 from tulippin.events import WorkerFailed, WorkerSynced
 from tulippin.ledger import AttemptEntry
 from tulippin.records import AttemptEnded
@@ -31,7 +35,7 @@
     WorkerSync,
 )
 
-_RETRY_SYNC_MS = 500
+_SYNC_RETRY_DELAY_MS = 500
 
 _OUTCOMES: t.Final = {
     RunState.DONE: TaskOutcome.DONE,
@@ -42,57 +46,60 @@
 
 
 def tick_cell(context: Context, cell: CellState) -> None:
-    """Sync the workers that are due, and give up those surely lost."""
+    """Sync the workers that are due, drain leaving and end lost ones."""
     for worker in cell.workers.values():
         if _is_due(context, worker):
             send_sync(context, cell, worker)
         if _is_lapsed(context, worker):
-            _give_up(context, cell, worker)
+            _mark_lost(context, cell, worker)
         elif (
             _worker_state.is_leaving(worker, context.state.config.seams)
             and context.may_act
         ):
-            _drain(context, cell, worker)
+            _drain_worker(context, cell, worker)
 
 
 def _is_due(context: Context, worker: WorkerState) -> bool:
-    """Tell whether a worker is to be synced now.
+    """Return whether a worker is due for a sync.
 
-    Starts of ordinary work gather for ``sync_gap_ms``, so that a report
-    of all that a worker holds is not paid for each start.
+    Starts of ordinary work are batched for ``sync_gap_ms``, because each
+    sync costs a report of everything that the worker holds.
     """
-    if worker.hurry or context.now_ms >= worker.next_sync_ms:
+    if worker.needs_urgent_sync or context.now_ms >= worker.next_sync_ms:
         return True
     gap_ms = context.state.config.sync_gap_ms
-    return worker.dirty and context.now_ms >= worker.sync_sent_ms + gap_ms
+    return worker.needs_sync and context.now_ms >= worker.sync_sent_ms + gap_ms
 
 
 def _is_lapsed(context: Context, worker: WorkerState) -> bool:
-    if worker.lost or _worker_state.is_fresh(context, worker):
+    if worker.lost or _worker_state.is_responsive(context, worker):
         return False
     if not context.state.config.seams.lease_wait:
         return context.may_act
     if not context.may_act or context.now_ms < worker.lapse_ms:
         return False
-    # The silence may have been this instance's own: ask once more first.
-    asked = worker.failed_sent_ms >= worker.lapse_ms
-    return asked or not worker.info.address
+    # The silence may come from a pause of this instance, so the worker counts
+    # as lost only if a sync sent after the lapse fails too.
+    confirmed = worker.failed_sync_sent_ms >= worker.lapse_ms
+    return confirmed or not worker.info.address
 
 
-def _give_up(context: Context, cell: CellState, worker: WorkerState) -> None:
-    """End the attempts of a worker whose leases have surely lapsed."""
+def _mark_lost(context: Context, cell: CellState, worker: WorkerState) -> None:
+    """End the attempts of a worker whose leases have all lapsed."""
     worker.lost = True
     context.state.counters['workers_lost'] += 1
     for task_id in sorted(worker.attempts):
         entry = cell.ledger.attempts.get(task_id)
         if entry is not None and entry.outcome is None:
-            propose_end(context, cell, entry, TaskOutcome.LOST)
+            record_outcome(context, cell, entry, TaskOutcome.LOST)
     if worker.absent and not worker.attempts:
         worker.next_sync_ms = context.now_ms
 
 
-def _drain(context: Context, cell: CellState, worker: WorkerState) -> None:
-    """Evict batch work of a leaving worker, and services that idle."""
+def _drain_worker(
+    context: Context, cell: CellState, worker: WorkerState
+) -> None:
+    """Evict a leaving worker's batch work, and services without requests."""
     busy = bool(worker.dispatched)
     for task_id in worker.started - set(worker.stopping):
         entry = cell.ledger.attempts.get(task_id)
@@ -103,13 +110,16 @@
 
 
 def send_sync(context: Context, cell: CellState, worker: WorkerState) -> None:
-    """Send a worker its leases, starts and stops, one sync at a time."""
+    """Send a worker its leases, starts and stops.
+
+    At most one sync to a worker is in flight.
+    """
     config = context.state.config
     if worker.sync_in_flight or not worker.info.address:
         return
     if not context.may_serve:
         return
-    worker.dirty = worker.hurry = False
+    worker.needs_sync = worker.needs_urgent_sync = False
     worker.sequence += 1
     worker.sync_in_flight = worker.sequence
     worker.sync_sent_ms = context.now_ms
@@ -128,8 +138,8 @@
         lease_until_ms = worker.clock_ms + config.worker_lease_ms
     renew: list[AttemptKey] = []
     start: list[StartTask] = []
-    stop = [AttemptKey(*key) for key in sorted(worker.orphans)]
-    for entry in _iter_kept(cell, worker):
+    stop = [AttemptKey(*key) for key in sorted(worker.orphaned_attempts)]
+    for entry in _iter_unfinished(cell, worker):
         task_id = entry.task.task_id
         key = AttemptKey(task_id, entry.task.attempt)
         if task_id in worker.stopping and len(stop) < config.stops_per_sync:
@@ -139,7 +149,7 @@
         elif task_id not in worker.stopping:
             start.append(_make_start(entry))
     if not context.may_act:
-        # Detached: keep alive what runs, begin and end nothing.
+        # Detached: renew running attempts, but start and stop none.
         start, stop = [], []
     return WorkerSync(
         worker.worker_id,
@@ -150,24 +160,24 @@
         tuple(renew),
         tuple(start),
         tuple(stop),
-        tuple(_make_throttles(cell, worker)),
-        tuple(AttemptKey(*key) for key in sorted(worker.forgotten)),
+        tuple(_iter_throttled(cell, worker)),
+        tuple(AttemptKey(*key) for key in sorted(worker.forgotten_attempts)),
     )
 
 
-def _iter_kept(
+def _iter_unfinished(
     cell: CellState, worker: WorkerState
 ) -> t.Iterator[AttemptEntry]:
-    """Iterate over attempts that are to run here, none that is ending."""
+    """Yield the unfinished attempts of a worker that are not ending."""
     for task_id in sorted(worker.attempts):
         entry = cell.ledger.attempts.get(task_id)
         if entry is None or entry.outcome is not None:
             continue
-        if cell.ending.get(task_id) != entry.task.attempt:
+        if cell.ending_attempts.get(task_id) != entry.task.attempt:
             yield entry
 
 
-def _make_throttles(
+def _iter_throttled(
     cell: CellState, worker: WorkerState
 ) -> t.Iterator[AttemptKey]:
     for task_id in sorted(worker.throttled):
@@ -195,7 +205,7 @@
         return
     cell, worker = found
     if event.refused and event.epoch == cell.epoch:
-        # A higher epoch is at work: this instance was fenced here.
+        # The worker has seen a higher epoch: this owner is fenced.
         if context.state.config.seams.fencing:
             context.state.counters['cells_fenced'] += 1
             drop_unit(context, cell)
@@ -203,8 +213,8 @@
         return
     if event.epoch == cell.epoch and event.sequence == worker.sync_in_flight:
         worker.sync_in_flight = 0
-        worker.failed_sent_ms = worker.sync_sent_ms
-        worker.next_sync_ms = context.now_ms + _RETRY_SYNC_MS
+        worker.failed_sync_sent_ms = worker.sync_sent_ms
+        worker.next_sync_ms = context.now_ms + _SYNC_RETRY_DELAY_MS
 
 
 @handle.register
@@ -216,18 +226,18 @@
     if event.epoch != cell.epoch or event.sequence != worker.sync_in_flight:
         return
     worker.sync_in_flight = 0
-    _note_reply(context, worker, event.report)
-    _count_foreign(worker, event.report)
+    _record_reply(context, worker, event.report)
+    _update_foreign_busy(worker, event.report)
     if cell.phase is Phase.ACTIVE and context.may_act:
         _reconcile(context, cell, worker, event.report)
     elif context.state.session.standing is Standing.DETACHED:
-        _keep_endpoints(cell, worker, event.report)
-    _requests.pump_worker(context, cell, worker)
-    if worker.hurry:
+        _remove_ended_endpoints(cell, worker, event.report)
+    _requests.dispatch_to_worker(context, cell, worker)
+    if worker.needs_urgent_sync:
         send_sync(context, cell, worker)
 
 
-def _note_reply(
+def _record_reply(
     context: Context, worker: WorkerState, report: WorkerReport
 ) -> None:
     first = worker.last_reply_ms < 0
@@ -238,11 +248,16 @@
     worker.lost = False
     if first:
         worker.foreign_busy = report.busy_slots
-        worker.hurry = True
+        worker.needs_urgent_sync = True
 
 
-def _count_foreign(worker: WorkerState, report: WorkerReport) -> None:
-    """Reckon slots that requests of others, or lost ones, still hold."""
+def _update_foreign_busy(worker: WorkerState, report: WorkerReport) -> None:
+    """Estimate the slots held by requests that are not tracked here.
+
+    These are requests of a former owner or ones whose answer was lost.
+    The estimate only shrinks here: busy slots beyond the requests that
+    were certainly running when the sync was sent are the upper bound.
+    """
     certain = sum(
         sent_ms < worker.sync_sent_ms for sent_ms in worker.dispatched.values()
     )
@@ -256,17 +271,17 @@
     worker: WorkerState,
     report: WorkerReport,
 ) -> None:
-    """Compare what a worker reports with what the cell's ledger says."""
+    """Reconcile a worker's report with the cell's ledger."""
     worker.incarnation = report.incarnation
-    worker.orphans.clear()
-    worker.forgotten.clear()
+    worker.orphaned_attempts.clear()
+    worker.forgotten_attempts.clear()
     reported = set()
     for run in report.runs:
         reported.add(run.task_id)
         _reconcile_run(context, cell, worker, run)
     for task_id in sorted(worker.attempts - reported):
         _reconcile_missing(context, cell, worker, task_id)
-    _pressure.learn(context, cell, worker, report)
+    _interference_control.learn_from_report(context, cell, worker, report)
 
 
 def _reconcile_run(
@@ -274,30 +289,30 @@
 ) -> None:
     entry = cell.ledger.attempts.get(run.task_id)
     key = (run.task_id, run.attempt)
-    ours = (
+    is_assigned_here = (
         entry is not None
         and entry.task.attempt == run.attempt
         and entry.worker_id == worker.worker_id
     )
-    if entry is None or not ours or entry.outcome is not None:
+    if entry is None or not is_assigned_here or entry.outcome is not None:
         if run.state is RunState.RUNNING:
-            worker.orphans.add(key)
-            worker.hurry = True
+            worker.orphaned_attempts.add(key)
+            worker.needs_urgent_sync = True
         else:
-            worker.forgotten.add(key)
+            worker.forgotten_attempts.add(key)
         return
     if run.state is RunState.RUNNING:
-        _note_running(context, cell, worker, entry)
+        _record_running(context, cell, worker, entry)
         return
     outcome = _OUTCOMES[run.state]
     if worker.stopping.get(run.task_id) == 'cancelled' and (
         outcome is TaskOutcome.EVICTED
     ):
         outcome = TaskOutcome.CANCELLED
-    propose_end(context, cell, entry, outcome, run.checkpoint)
+    record_outcome(context, cell, entry, outcome, run.checkpoint)
 
 
-def _note_running(
+def _record_running(
     context: Context,
     cell: CellState,
     worker: WorkerState,
@@ -305,7 +320,7 @@
 ) -> None:
     task_id = entry.task.task_id
     if task_id in worker.stopping:
-        worker.dirty = True
+        worker.needs_sync = True
     if task_id in worker.started:
         return
     worker.started.add(task_id)
@@ -322,19 +337,22 @@
         return
     restarted = entry.incarnation != worker.incarnation
     if restarted or task_id in worker.started:
-        propose_end(context, cell, entry, TaskOutcome.LOST)
+        record_outcome(context, cell, entry, TaskOutcome.LOST)
     elif worker.stopping.get(task_id) == 'cancelled':
-        propose_end(context, cell, entry, TaskOutcome.CANCELLED)
+        record_outcome(context, cell, entry, TaskOutcome.CANCELLED)
     elif task_id in worker.stopping:
-        propose_end(context, cell, entry, TaskOutcome.EVICTED)
+        record_outcome(context, cell, entry, TaskOutcome.EVICTED)
     else:
-        worker.dirty = True
+        worker.needs_sync = True
 
 
-def _keep_endpoints(
+def _remove_ended_endpoints(
     cell: CellState, worker: WorkerState, report: WorkerReport
 ) -> None:
-    """While detached, drop endpoints that no longer run; end nothing."""
+    """Remove the endpoints of a worker that no longer run.
+
+    Used while detached, when no attempt may be ended.
+    """
     running = {
         run.task_id for run in report.runs if run.state is RunState.RUNNING
     }
@@ -344,20 +362,20 @@
                 _worker_state.remove_endpoint(cell, service, task_id)
 
 
-def propose_end(
+def record_outcome(
     context: Context,
     cell: CellState,
     entry: AttemptEntry,
     outcome: TaskOutcome,
     checkpoint: str = '',
 ) -> None:
-    """Record how an attempt ended, once."""
+    """Record the outcome of an attempt, unless that is already in progress."""
     task = entry.task
     if cell.phase is not Phase.ACTIVE:
         return
-    if cell.ending.get(task.task_id) == task.attempt:
+    if cell.ending_attempts.get(task.task_id) == task.attempt:
         return
-    cell.ending[task.task_id] = task.attempt
+    cell.ending_attempts[task.task_id] = task.attempt
     context.record(
         cell,
         AttemptEnded(task.task_id, task.attempt, outcome, checkpoint),
--- a/src/tulippin/state.py
+++ b/src/tulippin/state.py
@@ -1,4 +1,4 @@
-"""The state of one instance: what the reducer reads and changes."""
+"""The state of an instance, which the reducer reads and changes."""
 
 from __future__ import annotations
 
@@ -31,33 +31,35 @@
 
 
 @attrs.frozen
-class Seams:
-    """Safeguards that only tests switch off, to see the checker object.
+class Safeguards:
+    """Safeguards that only tests switch off, to test the history checker.
 
     Parameters
     ----------
     fencing : bool
-        A session that is revoked or lapsed stops acting.
+        A session whose lease is revoked or lapsed stops acting.
     read_back : bool
-        A write whose answer is lost is read back; off: taken for done.
+        A write whose answer is lost is read back; when off, it counts as
+        done.
     lease_wait : bool
-        A silent worker's tasks wait until its leases surely lapsed.
+        Tasks of a silent worker start elsewhere only after its leases lapse.
     deduplication : bool
-        The id of a non-repeatable request runs once.
+        A non-repeatable request runs at most once for each request id.
     drain : bool
-        A leaving worker gets nothing new.
+        A leaving worker gets no new work.
     stop_drain : bool
-        A planned stop waits for what is in progress.
+        A planned stop waits for requests and calls in progress.
     capacity : bool
-        Only workers with room get an attempt.
+        Attempts start only on workers with enough free capacity.
     bundle_order : bool
-        A lower bundle is never taken.
+        A bundle with a lower number is never adopted.
     not_run_proof : bool
-        A broken call is unknown; off: it is told as not run.
+        A call that broke off has an unknown outcome; when off, it is
+        reported as not run.
     answer_match : bool
-        An answer is held against its request and its length.
+        An answer is checked against its request and its stated length.
     checkpoints : bool
-        The next attempt begins from the last one's checkpoint.
+        An attempt resumes from the checkpoint of the previous one.
     """
 
     fencing: bool = True
@@ -75,7 +77,7 @@
 
 @attrs.frozen
 class Config:
-    """What an instance knows from its settings; times in milliseconds."""
+    """The settings of an instance that the reducer uses."""
 
     instance_id: str
     failure_domain: str
@@ -110,16 +112,17 @@
     retention_ms: int = 86400000
     starts_per_tick: int = 200
     stops_per_sync: int = 50
-    seams: Seams = Seams()
+    seams: Safeguards = Safeguards()
 
 
 class Standing(enum.Enum):
-    """What the instance may do, by what it knows of its session.
+    """The standing of the session, which decides what the instance may do.
 
-    ``DETACHED``: the lease lapsed while the store did not answer; work
-    that runs is kept alive, nothing new is begun. ``SUSPECT``: the
-    lease lapsed while this process stood still; it does nothing until
-    the table confirms the session.
+    ``OPENING``: there is no session yet. ``ACTIVE``: the lease is valid.
+    ``DETACHED``: the lease lapsed while the store did not answer; running
+    work is kept alive, nothing new is started. ``SUSPECT``: the lease
+    lapsed while this process was stalled; it does nothing until the table
+    confirms the session. ``LEFT``: a planned stop is complete.
     """
 
     OPENING = 'opening'
@@ -130,7 +133,7 @@
 
 
 class Phase(enum.Enum):
-    """Where an owned unit stands."""
+    """The phase of an owned unit."""
 
     LOADING = 'loading'
     ACTIVE = 'active'
@@ -155,24 +158,24 @@
     next_poll_ms: int = 0
     next_list_ms: int = 0
     next_gossip_ms: int = 0
-    next_share_ms: int = 0
+    next_model_share_ms: int = 0
     next_rebalance_ms: int = 0
     next_dispatch_ms: int = 0
     writing_ownership: bool = False
-    gained_version: int = 0
+    acquired_version: int = 0
     stopping_since_ms: int | None = None
-    refusing: bool = False
+    refuses_requests: bool = False
     wall_offset_ms: int = 0
 
 
 @attrs.define
 class PeerState:
-    """Another instance's session, as seen from here."""
+    """The session of another instance, as this instance sees it."""
 
     lease: LeaseRow
-    changed_ms: int
+    lease_changed_ms: int
     first_seen_ms: int = 0
-    last_heard_ms: int = -1
+    last_received_ms: int = -1
     bundle_number: int = 0
     store_reachable: bool = True
     leaving: bool = False
@@ -181,7 +184,11 @@
 
 @attrs.define
 class JournalState:
-    """Records on their way into the table."""
+    """Uncommitted records, and the position in the journal ring.
+
+    ``uncommitted_counts`` holds the number of pending and in-flight
+    records of each unit.
+    """
 
     pending: list[UnitRecord] = attrs.field(factory=list)
     in_flight: tuple[UnitRecord, ...] = ()
@@ -190,14 +197,14 @@
     snapshot_running: bool = False
     next_commit_ms: int = 0
     next_snapshot_ms: int = 0
-    unit_counts: collections.Counter[str] = attrs.field(
+    uncommitted_counts: collections.Counter[str] = attrs.field(
         factory=collections.Counter
     )
 
 
 @attrs.define
 class WorkerState:
-    """A worker of an owned cell: what is not kept durably."""
+    """The volatile state of a worker of an owned cell."""
 
     info: WorkerInfo
     incarnation: str = ''
@@ -205,10 +212,10 @@
     sequence: int = 0
     sync_in_flight: int = 0
     sync_sent_ms: int = 0
-    failed_sent_ms: int = -1
+    failed_sync_sent_ms: int = -1
     next_sync_ms: int = 0
-    dirty: bool = False
-    hurry: bool = False
+    needs_sync: bool = False
+    needs_urgent_sync: bool = False
     last_reply_ms: int = -1
     lapse_ms: int = 0
     lost: bool = False
@@ -222,23 +229,23 @@
     batch_counts: collections.Counter[str] = attrs.field(
         factory=collections.Counter
     )
-    avoid_until_ms: int = 0
+    backoff_until_ms: int = 0
     started: set[str] = attrs.field(factory=set)
     throttled: set[str] = attrs.field(factory=set)
     stopping: dict[str, str] = attrs.field(factory=dict)
-    orphans: set[tuple[str, int]] = attrs.field(factory=set)
-    forgotten: set[tuple[str, int]] = attrs.field(factory=set)
+    orphaned_attempts: set[tuple[str, int]] = attrs.field(factory=set)
+    forgotten_attempts: set[tuple[str, int]] = attrs.field(factory=set)
     dispatched: dict[int, int] = attrs.field(factory=dict)
     foreign_busy: int = 0
     failed_jobs: dict[str, int] = attrs.field(factory=dict)
     quarantined_until_ms: int = 0
     quarantine_count: int = 0
-    unsaved_ms: dict[str, int] = attrs.field(factory=dict)
-    residents: collections.deque[tuple[int, dict[str, int]]] = attrs.field(
-        factory=lambda: collections.deque(maxlen=64)
+    unsaved_progress_ms: dict[str, int] = attrs.field(factory=dict)
+    batch_count_history: collections.deque[tuple[int, dict[str, int]]] = (
+        attrs.field(factory=lambda: collections.deque(maxlen=64))
     )
     pressure: float = 0.0
-    relief_after_ms: int = 0
+    next_relief_ms: int = 0
 
     @property
     def worker_id(self) -> str:
@@ -247,12 +254,12 @@
 
     @property
     def free(self) -> Resources:
-        """Return what is not reserved."""
+        """Return the capacity that is not reserved."""
         return self.info.capacity.subtract(self.reserved)
 
     @property
     def free_slots(self) -> int:
-        """Return how many more requests may run on the worker."""
+        """Return the number of further requests that the worker may run."""
         busy = len(self.dispatched) + self.foreign_busy
         limit = min(self.info.slot_count, self.info.connection_count)
         return limit - busy
@@ -274,8 +281,8 @@
     placing: dict[str, TaskRef] = attrs.field(factory=dict)
     waiting: dict[str, t.Any] = attrs.field(factory=dict)
     refused: dict[str, TaskRef] = attrs.field(factory=dict)
-    ending: dict[str, int] = attrs.field(factory=dict)
-    report_due: dict[str, int] = attrs.field(factory=dict)
+    ending_attempts: dict[str, int] = attrs.field(factory=dict)
+    report_due_ms: dict[str, int] = attrs.field(factory=dict)
     home_epochs: dict[str, int] = attrs.field(factory=dict)
     queues: dict[str, collections.deque[int]] = attrs.field(factory=dict)
     endpoints: dict[str, dict[str, str]] = attrs.field(factory=dict)
@@ -283,7 +290,10 @@
 
 @attrs.define
 class OfferState:
-    """An assigned attempt that waits for its cell's word."""
+    """An assigned attempt of a task, offered to its cell.
+
+    ``held_epoch`` is the cell's epoch that confirmed the attempt, or 0.
+    """
 
     task: TaskRef
     cell: str
@@ -294,7 +304,11 @@
 
 @attrs.define(order=True)
 class QueuedTask:
-    """A task that waits for a cell; the heap orders by these fields."""
+    """A heap entry for one or more tasks that wait for a cell.
+
+    Only ``rank`` decides the order. A negative ``index`` stands for all
+    tasks of the job that were never assigned.
+    """
 
     rank: tuple[int, int]
     job_id: str = attrs.field(order=False)
@@ -303,7 +317,13 @@
 
 @attrs.define
 class RangeState:
-    """A hash range that this instance owns."""
+    """A hash range that this instance owns.
+
+    ``fresh_indexes`` holds the index of the first task that was never
+    assigned, by job. ``assigning`` and ``returning`` hold the tasks with
+    an assignment or a return that is not committed yet. ``spread`` counts
+    the tasks of each service job by cell.
+    """
 
     unit: str
     epoch: int
@@ -311,7 +331,7 @@
     ledger: RangeLedger = attrs.field(factory=RangeLedger)
     owned_since_ms: int = 0
     queue: list[QueuedTask] = attrs.field(factory=list)
-    fresh_jobs: dict[str, int] = attrs.field(factory=dict)
+    fresh_indexes: dict[str, int] = attrs.field(factory=dict)
     offers: dict[str, OfferState] = attrs.field(factory=dict)
     returning: dict[str, int] = attrs.field(factory=dict)
     assigning: dict[str, JobSpec] = attrs.field(factory=dict)
@@ -328,14 +348,14 @@
 
 @attrs.frozen
 class CallerOrigin:
-    """The request came from a caller of this instance."""
+    """Origin of a request that a caller sent to this instance."""
 
     call_id: int
 
 
 @attrs.frozen
 class PeerOrigin:
-    """The request came from a peer."""
+    """Origin of a request that a peer forwarded."""
 
     session_id: str
     call_id: int
@@ -343,7 +363,7 @@
 
 @attrs.frozen
 class TicketOrigin:
-    """The request is one try of another ticket on this instance."""
+    """Origin of a request that is a try of another ticket here."""
 
     ticket: int
 
@@ -352,7 +372,7 @@
 
 
 class Stage(enum.Enum):
-    """What a ticket is doing."""
+    """The processing stage of a ticket."""
 
     ROUTING = 'routing'
     OPENING = 'opening'
@@ -365,7 +385,7 @@
 
 @attrs.define
 class Ticket:
-    """A request on its way through this instance."""
+    """A request in progress on this instance."""
 
     ticket: int
     origin: Origin
@@ -380,9 +400,9 @@
     target_session: str = ''
     policy: str = ''
     retry_at_ms: int | None = None
-    try_unit: str = ''
+    last_try_unit: str = ''
     try_count: int = 0
-    full_cells: set[str] = attrs.field(factory=set)
+    overloaded_cells: set[str] = attrs.field(factory=set)
     waiters: list[Origin] = attrs.field(factory=list)
     last_outcome: RequestOutcome | None = None
     sent_ms: int = 0
@@ -390,7 +410,7 @@
 
 @attrs.define
 class JobCall:
-    """A job operation that waits for its home."""
+    """A job operation that waits for a reply of the job's home unit."""
 
     call_id: int
     message: JobForwarded
@@ -400,7 +420,7 @@
 
 @attrs.define
 class ReportCall:
-    """A merged report that waits for the peers' parts."""
+    """A merged report that waits for parts from the peers."""
 
     call_id: int
     waiting: set[str]
@@ -410,7 +430,7 @@
 
 @attrs.define
 class State:
-    """Everything that one instance holds."""
+    """The whole state of an instance."""
 
     config: Config
     now_ms: int = 0
@@ -420,14 +440,14 @@
     ownership_version: int = 0
     peers: dict[str, PeerState] = attrs.field(factory=dict)
     ended_sessions: dict[str, int] = attrs.field(factory=dict)
-    heard_sequences: dict[str, int] = attrs.field(factory=dict)
-    # When a cell with a task of a service was last told of, by any owner.
-    service_told_ms: dict[str, int] = attrs.field(factory=dict)
+    received_sequences: dict[str, int] = attrs.field(factory=dict)
+    # When any cell owner last reported a task of the service.
+    service_reported_ms: dict[str, int] = attrs.field(factory=dict)
     journal: JournalState = attrs.field(factory=JournalState)
     workers: dict[str, WorkerInfo] = attrs.field(factory=dict)
     listed_instances: frozenset[str] = frozenset()
-    list_known: bool = False
-    cell_places: dict[str, tuple[str, str]] = attrs.field(factory=dict)
+    has_worker_list: bool = False
+    cell_locations: dict[str, tuple[str, str]] = attrs.field(factory=dict)
     cells: dict[str, CellState] = attrs.field(factory=dict)
     ranges: dict[str, RangeState] = attrs.field(factory=dict)
     bundle: Bundle | None = None
@@ -435,7 +455,7 @@
     bundle_approved: str = ''
     bundle_state: str = ''
     verifying_number: int = 0
-    next_bundle_ask_ms: int = 0
+    next_bundle_request_ms: int = 0
     tickets: dict[int, Ticket] = attrs.field(factory=dict)
     next_ticket: int = 1
     job_calls: dict[int, JobCall] = attrs.field(factory=dict)
@@ -449,7 +469,7 @@
     )
 
     def get_unit(self, unit: str) -> UnitState | None:
-        """Return the owned unit, or nothing."""
+        """Return the owned unit, or ``None`` if it is not owned."""
         return self.cells.get(unit) or self.ranges.get(unit)
 
     def iter_units(self) -> t.Iterator[UnitState]:
@@ -459,5 +479,8 @@
 
     @property
     def wall_ms(self) -> int:
-        """Return the time of day as of the last event, for labels only."""
+        """Return the wall clock time of the last event.
+
+        It serves for labels, trial windows and retention, never for leases.
+        """
         return self.now_ms + self.session.wall_offset_ms
