--- a/src/tulippin/jobs/_row_checks.py
+++ b/src/tulippin/jobs/_row_checks.py
@@ -101,7 +101,7 @@
     if sum(step.task_count for step in request.steps) > MOST_TASKS:
         return 'it has too many tasks'
     if not _is_valid_schedule(request.schedule):
-        return 'its schedule is out of range'
+        return 'it is due at no time'
     faults = (
         _find_step_fault(number, step)
         for number, step in enumerate(request.steps)
@@ -118,9 +118,9 @@
     if not 0 < step.task_count <= MOST_TASKS:
         return f'step {number} has {step.task_count} tasks'
     if any(not 0 <= one < number for one in step.after):
-        return f'step {number} depends on a step that is not an earlier one'
+        return f'step {number} waits for one that is no earlier one'
     if _has_negative_amount(step):
-        return f'step {number} asks for a negative amount'
+        return f'step {number} asks for less than nothing'
     if _has_excessive_amount(step):
         return f'step {number} asks for more than there can be'
     return ''
--- a/src/tulippin/jobs/intake.py
+++ b/src/tulippin/jobs/intake.py
@@ -96,7 +96,7 @@
         home = read_record(row, HomeRecord)
         if is_unreadable(row, home):
             # The job may exist, but its home unit is unknown.
-            raise UnavailableError(f'home row of {job_id} is unreadable')
+            raise UnavailableError(f'the home of {job_id} is unreadable')
         return home, row
 
     async def _read_state(self, number: int, job_id: str) -> JobState | None:
@@ -105,7 +105,7 @@
         row = await self._read_row(unit.progress_table, unit.part, job_id)
         progress = read_record(row, ProgressRecord)
         if is_unreadable(row, progress):
-            raise UnavailableError(f'progress row of {job_id} is unreadable')
+            raise UnavailableError(f'the progress of {job_id} is unreadable')
         return progress.state if progress else None
 
     async def submit(
@@ -119,7 +119,7 @@
         await self._wait_for_layout(limit_ms)
         number = self.shell.choose_unit(request)
         if number is None:
-            raise UnavailableError('the layout of units is not known yet')
+            raise UnavailableError('no unit is known yet')
         home = HomeRecord(number)
         record = JobRecord(queue, request, self.shell.wall())
         transaction = Transaction(
@@ -135,7 +135,7 @@
         if result.is_done:
             self._cache_home(job_id, number)
         elif _is_home_unreadable(result, job_id):
-            raise AnswerLostError(f'home row of {job_id} is unreadable')
+            raise AnswerLostError(f'the home of {job_id} is unreadable')
         self.shell.observe('tulippin_call_seconds', 'submit', began_ms)
         logger.info(
             'job accepted',
@@ -203,12 +203,12 @@
                     took_ms=self.shell.clock() - began_ms,
                 )
                 return True
-        raise AnswerLostError('units of the job keep changing; cancel again')
+        raise AnswerLostError('the units of a job keep changing; cancel again')
 
     def count_waiting(self, queue: Queue) -> int:
         """Return how many of a queue's jobs have no task begun."""
         if not self.shell.units:
-            raise UnavailableError('the layout of units is not known yet')
+            raise UnavailableError('no unit is known yet')
         counts = [
             _get_waiting_counts(unit) for unit in self.shell.units.values()
         ]
@@ -237,8 +237,7 @@
     """Refuse a call that can't be done in time, before it has any effect."""
     if limit_ms < LEAST_LIMIT_MS:
         raise UnavailableError(
-            f'not run: a time limit of {limit_ms} ms is too short; '
-            'call again with a longer one'
+            f'not run: {limit_ms} ms are too little; call again with more'
         )
 
 
--- a/src/tulippin/platform/store.py
+++ b/src/tulippin/platform/store.py
@@ -111,10 +111,10 @@
             if not page.more:
                 return RowPage(tuple(rows), version)
             if not page.rows:
-                raise AnswerLostError('the store sent an empty page')
+                raise AnswerLostError('the store answers a page of nothing')
             if page.rows[-1].key < first:
                 # A request for the next page would return this one forever.
-                raise AnswerLostError('the store sent a page twice')
+                raise AnswerLostError('the store answers a page twice')
             # The smallest key above the last key of this page.
             first = f'{page.rows[-1].key}\0'
 
@@ -183,9 +183,7 @@
             extra_wait_ms=extra_wait_ms,
         )
         if answer.status in _REJECTED_STATUSES:
-            raise UnavailableError(
-                f'the store rejected the request with status {answer.status}'
-            )
+            raise UnavailableError(f'the store refuses ({answer.status})')
         return answer
 
 
@@ -193,7 +191,7 @@
     """Return the answer if its status is 200; raise otherwise."""
     if answer.status != _OK:
         raise AnswerLostError(
-            f'the store returned status {answer.status}: {answer.body[:200]!r}'
+            f'the store answers {answer.status}: {answer.body[:200]!r}'
         )
     return answer
 
@@ -202,6 +200,4 @@
     try:
         return _rows_decoder.decode(answer.body)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise AnswerLostError(
-            f'invalid response from the store: {error}'
-        ) from error
+        raise AnswerLostError(f'the store answers nonsense: {error}') from error
