--- a/src/tulippin/jobs/_advising.py
+++ b/src/tulippin/jobs/_advising.py
@@ -154,12 +154,12 @@
     """Count a rejected sample, and log it unless one was just logged."""
     state = context.state
     state.count('samples_refused')
-    is_logged = worker.refused_ms is not None and (
-        state.now_ms - worker.refused_ms < _REJECTED_LOG_INTERVAL_MS
+    is_logged = worker.rejection_logged_ms is not None and (
+        state.now_ms - worker.rejection_logged_ms < _REJECTED_LOG_INTERVAL_MS
     )
     if is_logged:
         return
-    worker.refused_ms = state.now_ms
+    worker.rejection_logged_ms = state.now_ms
     context.log(
         'sample refused',
         worker=worker.worker_id,
--- a/src/tulippin/jobs/_attempts.py
+++ b/src/tulippin/jobs/_attempts.py
@@ -66,7 +66,7 @@
     worker = context.state.workers.get(attempt.worker_id)
     if worker is not None:
         found = worker.attempts.pop((attempt.key, attempt.run), None)
-        worker.trials.pop((attempt.key, attempt.run), None)
+        worker.probation_runs.pop((attempt.key, attempt.run), None)
         if found is not None:
             worker.reserved = worker.reserved.subtract(attempt.step.reserved)
             _interference.drop_attempt(attempt, worker)
@@ -121,7 +121,7 @@
 def make_ready(job: Job, task: Task, context: Context) -> None:
     """Make a task ready to start, unless it is over or still runs."""
     is_over = task.is_done or job.is_cancelled or job.state in FINAL_STATES
-    is_over = is_over or job.is_past_unknown
+    is_over = is_over or job.is_progress_unknown
     is_here = _lifecycle.is_here(job, task.key)
     if is_here and not is_over and not task.attempts:
         step = job.request.steps[task.key.step]
@@ -138,7 +138,7 @@
     if attempt is not None:
         drop_attempt(attempt, context)
     if ended.outcome in _COUNTED_OUTCOMES or ended.checkpoint:
-        worker.unsettled[ended.number] = ended.key
+        worker.uncommitted_ends[ended.number] = ended.key
     found = find_task(ended.key, context)
     context.state.count(f'ends_{ended.outcome.value}')
     context.log(
@@ -154,7 +154,7 @@
         return
     job, task = found
     task.has_run = True
-    task.open_start = None
+    task.unresolved_start = None
     if ended.checkpoint:
         task.checkpoint = ended.checkpoint
     _faults.record_outcome(worker, ended, context)
@@ -269,7 +269,7 @@
     for attempt in worker.attempts.values():
         is_open = (
             attempt.state is AttemptState.STOPPING
-            and not attempt.stop_is_settled
+            and not attempt.is_stop_confirmed
         )
         if is_open and attempt.stop_sent_ms < limit_ms:
             send_stop(attempt, context)
--- a/src/tulippin/jobs/_availability.py
+++ b/src/tulippin/jobs/_availability.py
@@ -68,7 +68,7 @@
     if worker.entry.draining:
         return True
     now_ms = context.state.now_ms
-    unhealthy_ms = now_ms - (worker.unwell_since_ms or now_ms)
+    unhealthy_ms = now_ms - (worker.unhealthy_since_ms or now_ms)
     is_alone = all(one.pace_percent == 0 for one in worker.fillers.values())
     return is_alone and unhealthy_ms >= _CONFIRMED_UNHEALTHY_MS
 
--- a/src/tulippin/jobs/_choosing.py
+++ b/src/tulippin/jobs/_choosing.py
@@ -118,7 +118,7 @@
         score = worker.free.cpu_millicores / cpu_millicores
     if worker.worker_id in task.avoided:
         score += _AVOIDED_WORKER_WEIGHT
-    if worker.worker_id in task.spares and not task.crashes:
+    if worker.worker_id in task.standby_workers and not task.crashes:
         score += _STANDBY_WEIGHT
     if step.preferred_rack and step.preferred_rack not in worker.entry.labels:
         score += _FAR_RACK_WEIGHT
--- a/src/tulippin/jobs/_committing.py
+++ b/src/tulippin/jobs/_committing.py
@@ -107,13 +107,13 @@
         # no worker reports may still run. Jobs that were accepted after the
         # takeover can't have been started by an earlier owner.
         is_new = job.row_version > state.ownership.epoch_version
-        job.awaits_workers = job.is_guest or not is_new
-        if is_new and not job.is_guest:
-            job.knows_places = True
+        job.awaits_confirmation = job.is_transferred or not is_new
+        if is_new and not job.is_transferred:
+            job.are_assignments_known = True
         elif job.durable is None or event.roster is None:
             # Without a roster, the end of unconfirmed runs isn't known for
             # workers that aren't listed.
-            job.knows_places = False
+            job.are_assignments_known = False
         job.is_resumed = job.has_begun
         _open_job(job, context)
     _demand.take_over(state)
@@ -171,7 +171,7 @@
             steps=[_describe_step(step) for step in job.request.steps],
             version=job.row_version,
         )
-        _reports.adopt_strays(job, context)
+        _reports.adopt_orphaned_runs(job, context)
         _open_job(job, context)
     for row in event.rows:
         job_id = row.key.partition('/')[0]
@@ -269,7 +269,7 @@
         del state.dirty_jobs[job_id]
         record = _lifecycle.make_progress(job)
         if record != job.durable:
-            job.committing = record
+            job.pending_progress = record
             writes.append(ProgressWrite(job_id, record, job.progress_version))
     ends = {}
     if not state.dirty_jobs:
@@ -286,9 +286,9 @@
 
 def _collect_ends(state: SchedulerState) -> dict[str, int]:
     return {
-        worker.worker_id: worker.ends_read
+        worker.worker_id: worker.last_read_end_number
         for worker in state.workers.values()
-        if worker.ends_read > worker.last_seen
+        if worker.last_read_end_number > worker.last_seen
     }
 
 
@@ -302,9 +302,9 @@
         worker = state.workers.get(worker_id)
         if worker is not None and number > worker.last_seen:
             worker.last_seen = number
-            worker.unsettled = {
+            worker.uncommitted_ends = {
                 end_number: key
-                for end_number, key in worker.unsettled.items()
+                for end_number, key in worker.uncommitted_ends.items()
                 if end_number > number
             }
             worker.needs_ack = True
@@ -327,7 +327,7 @@
         if job is not None:
             job.progress_version = event.version
             job.durable = write.record
-            job.committing = None
+            job.pending_progress = None
             state.is_placing_due = True
             state.is_sending_due = True
             _passing.send(job, context)
@@ -413,7 +413,7 @@
     if not old or state.is_committing:
         return
     transferred = frozenset(
-        job_id for job_id in old if state.jobs[job_id].is_guest
+        job_id for job_id in old if state.jobs[job_id].is_transferred
     )
     for job_id in old:
         del state.jobs[job_id]
--- a/src/tulippin/jobs/_crashes.py
+++ b/src/tulippin/jobs/_crashes.py
@@ -228,11 +228,11 @@
     if found is None:
         return
     job, task = found
-    task.open_start = None
+    task.unresolved_start = None
     age_ms = context.state.now_ms - attempt.sent_ms
-    if attempt.is_proved or age_ms < _trials.MAX_SUSPECT_AGE_MS:
+    if attempt.has_passed_probation or age_ms < _trials.MAX_SUSPECT_AGE_MS:
         return
-    attempt.is_proved = True
+    attempt.has_passed_probation = True
     task.crashes.clear()
     _lifecycle.mark_dirty(job, context.state)
 
@@ -272,9 +272,9 @@
     abandon the job if all of them are confirmed. It also waits while another
     task of the job is the more likely cause, as the job may be abandoned.
     """
-    if task.open_start is not None:
+    if task.unresolved_start is not None:
         _resolve_open_start(job, task, state)
-    if task.open_start is not None:
+    if task.unresolved_start is not None:
         return True
     if not _are_lost_starts_durable(job, task):
         return True
@@ -294,11 +294,11 @@
 
     Counts a crash if the worker was lost before it reported its runs.
     """
-    run, worker_id = t.cast(tuple[int, str], task.open_start)
+    run, worker_id = t.cast(tuple[int, str], task.unresolved_start)
     worker = state.workers.get(worker_id)
     if worker is not None and not _unseen.are_runs_confirmed(worker, state):
         return
-    task.open_start = None
+    task.unresolved_start = None
     is_lapsed = worker is not None and not worker.is_reconciled
     if worker_id not in state.lost_unread and not is_lapsed:
         # The worker reported all of its runs, or an earlier owner saw it
@@ -363,10 +363,10 @@
     """Whether a worker that might run any task has crashed or lapsed."""
     for worker_id in state.lost_unread:
         worker = state.workers.get(worker_id)
-        if worker is None or worker.may_run_anything:
+        if worker is None or worker.may_run_any_task:
             return True
     return any(
-        worker.may_run_anything and not worker.is_reconciled
+        worker.may_run_any_task and not worker.is_reconciled
         for worker in state.workers.values()
     )
 
@@ -377,7 +377,7 @@
     Starts of long-running and of suspected tasks are durable before their
     order is sent.
     """
-    if task.open_start is not None:
+    if task.unresolved_start is not None:
         _resolve_open_start(job, task, state)
     return _is_short(job, task) and not task.crashes
 
@@ -502,7 +502,7 @@
     )
     if attempt.step.long_running and not is_assignment_stored:
         return False
-    is_suspected = (attempt.key, attempt.run) in worker.trials
+    is_suspected = (attempt.key, attempt.run) in worker.probation_runs
     return not is_suspected or _is_start_durable(attempt, state)
 
 
--- a/src/tulippin/jobs/_draining.py
+++ b/src/tulippin/jobs/_draining.py
@@ -128,7 +128,7 @@
     A task without standby workers may still be started by another unit.
     """
     found = _attempts.find_task(attempt.key, context)
-    if found is None or not found[1].spares:
+    if found is None or not found[1].standby_workers:
         return True
     return _spares.is_prepared(*found)
 
--- a/src/tulippin/jobs/_evening.py
+++ b/src/tulippin/jobs/_evening.py
@@ -68,7 +68,7 @@
 def _is_new(step_key: StepKey, state: SchedulerState) -> bool:
     """Whether a step is recent enough to be transferred for rebalancing."""
     job = state.jobs[step_key[0]]
-    is_recent = state.now_ms - job.known_ms < _MAX_HOLD_MS
+    is_recent = state.now_ms - job.first_seen_ms < _MAX_HOLD_MS
     return is_recent and _may_transfer(
         job, job.request.steps[step_key[2]], state
     )
@@ -113,7 +113,7 @@
     for step_key, tasks in state.ready.items():
         job = state.jobs[step_key[0]]
         step = job.request.steps[step_key[2]]
-        is_load_known = state.now_ms - job.known_ms >= _LOAD_DELAY_MS
+        is_load_known = state.now_ms - job.first_seen_ms >= _LOAD_DELAY_MS
         if not (is_load_known and _may_transfer(job, step, state)):
             continue
         if not any(task.has_run or task.attempts for task in tasks.values()):
@@ -142,7 +142,7 @@
         return False
     if _unseen.holds_back(job, step):
         return False
-    return not (job.is_guest or job.is_resumed)
+    return not (job.is_transferred or job.is_resumed)
 
 
 def _compute_balance(state: SchedulerState) -> _Balance:
--- a/src/tulippin/jobs/_feasibility.py
+++ b/src/tulippin/jobs/_feasibility.py
@@ -37,7 +37,7 @@
     tasks if it is too large even for an empty worker otherwise: it could never
     start, and urgent tasks can preempt it.
     """
-    if not worker.has_room(step.reserved):
+    if not worker.has_capacity(step.reserved):
         return False
     if step.opportunistic:
         are_tails_known = not is_unheard(worker, state)
@@ -98,8 +98,8 @@
         or worker.entry.service in current_configuration.guarded_services
     ):
         return True
-    is_recent = state.now_ms - worker.entry_ms <= _MAX_ENTRY_AGE_MS
-    return is_recent and not worker.strays
+    is_recent = state.now_ms - worker.entry_read_ms <= _MAX_ENTRY_AGE_MS
+    return is_recent and not worker.orphaned_runs
 
 
 def list_available(state: SchedulerState) -> list[Worker]:
--- a/src/tulippin/jobs/_giving_up.py
+++ b/src/tulippin/jobs/_giving_up.py
@@ -58,7 +58,7 @@
     """Whether another incarnation of the crashed worker has answered."""
     return any(
         worker.answered_ms
-        and not worker.is_over
+        and not worker.is_superseded
         and worker.worker_id != record.worker_id
         and (
             worker.entry.address == record.address
--- a/src/tulippin/jobs/_interference.py
+++ b/src/tulippin/jobs/_interference.py
@@ -123,7 +123,7 @@
     """
     size = attempt.step.size.cpu_millicores
     if attempt.is_slow_start:
-        return size * attempt.wanted_percent / _PERCENT
+        return size * attempt.target_pace_percent / _PERCENT
     return size * _SERVING_USE_RATIO if attempt.step.target_ms else size
 
 
@@ -352,7 +352,7 @@
     """
     return sum(
         get_contribution(serving_image, attempt, worker, state)
-        * attempt.wanted_percent
+        * attempt.target_pace_percent
         / _PERCENT
         for attempt in worker.fillers.values()
         if attempt.state is not AttemptState.STOPPING
--- a/src/tulippin/jobs/_lifecycle.py
+++ b/src/tulippin/jobs/_lifecycle.py
@@ -32,7 +32,7 @@
     JobRecord,
     ProgressRecord,
 )
-from tulippin.jobs.state import Job, PassedTask, SchedulerState, Task
+from tulippin.jobs.state import Job, SchedulerState, Task, TransferredTask
 from tulippin.jobs.types import (
     FINAL_STATES,
     JobState,
@@ -165,9 +165,9 @@
             record.request,
             row.version,
             arrived_ms=state.now_ms,
-            known_ms=state.now_ms,
+            first_seen_ms=state.now_ms,
             depths=_ranking.compute_depths(record.request),
-            is_guest=True,
+            is_transferred=True,
         )
         _count_tasks(job)
         state.jobs[job_id] = job
@@ -176,7 +176,7 @@
         if number > job.passes.get(key, 0):
             job.passes[key] = number
             task = get_task(job, key)
-            task.least_run = record.runs.get(name, 0)
+            task.run_floor = record.runs.get(name, 0)
             task.has_run = name in record.begun
             _restore_crashes(task, record.crashes.get(name, ()), state)
     return job if is_new else None
@@ -194,9 +194,9 @@
 
     The latest transfer counts, whether the task was received or sent.
     """
-    received_number = job.passes.get(key, -1 if job.is_guest else 0)
+    received_number = job.passes.get(key, -1 if job.is_transferred else 0)
     sent = job.passed.get(key)
-    return sent is None or received_number > sent.pass_number
+    return sent is None or received_number > sent.transfer_number
 
 
 def get_first_task(job: Job) -> TaskKey:
@@ -210,11 +210,11 @@
     The tasks of a job may be spread over several units. The unit that holds
     the first task counts the job, so that each job is counted exactly once.
     """
-    is_pending = job.state is JobState.PENDING and not job.is_past_unknown
+    is_pending = job.state is JobState.PENDING and not job.is_progress_unknown
     if job.is_cancelled or not is_pending:
         return False
     first = get_first_task(job)
-    if job.is_guest and first not in job.passes:
+    if job.is_transferred and first not in job.passes:
         return False
     task = job.tasks.get(first)
     has_run = task is not None and task.has_run
@@ -245,7 +245,7 @@
         record.request,
         row.version,
         arrived_ms=_get_arrival_ms(record, context.state),
-        known_ms=context.state.now_ms,
+        first_seen_ms=context.state.now_ms,
         depths=_ranking.compute_depths(record.request),
     )
     _count_tasks(job)
@@ -285,13 +285,13 @@
         task.avoided.update(record.avoided.get(name, ()))
     for name, passed in record.passed.items():
         key = parse_task(f'{job.job_id}.{name}')
-        job.passed[key] = PassedTask(*passed)
+        job.passed[key] = TransferredTask(*passed)
     for name, crashes in record.crashes.items():
         task = get_task(job, parse_task(f'{job.job_id}.{name}'))
         _restore_crashes(task, crashes, context.state)
     for name, started in record.started.items():
         task = get_task(job, parse_task(f'{job.job_id}.{name}'))
-        task.open_start = started
+        task.unresolved_start = started
     job.doubts = record.doubts
     _restore_assigned_workers(job, record)
     _restore_begun(job, record)
@@ -299,7 +299,7 @@
 
 def _restore_begun(job: Job, record: ProgressRecord) -> None:
     """Restore which long-running tasks have run, if that is recorded."""
-    job.knows_begun = record.begun is not None
+    job.are_started_tasks_known = record.begun is not None
     for name, bits in (record.begun or {}).items():
         occurrence, _, number = name.partition('.')
         for index in range(job.request.steps[int(number)].task_count):
@@ -310,10 +310,10 @@
 
 def _restore_assigned_workers(job: Job, record: ProgressRecord) -> None:
     """Restore the workers where long-running tasks may run, if recorded."""
-    job.knows_places = record.places is not None
+    job.are_assignments_known = record.places is not None
     for name, worker_ids in (record.places or {}).items():
         task = get_task(job, parse_task(f'{job.job_id}.{name}'))
-        task.unseen_on.update(worker_ids)
+        task.unconfirmed_workers.update(worker_ids)
 
 
 def _restore_crashes(
@@ -343,7 +343,7 @@
     The job may be finished, or have tasks that are done or run in another
     unit. Its runs on workers go on, and it can be cancelled.
     """
-    job.is_past_unknown = True
+    job.is_progress_unknown = True
     job.has_begun = True
     context.log('job withheld', job=job.job_id, why=why)
 
@@ -434,10 +434,10 @@
     for key, task in _iter_valid_tasks(job):
         if task.attempts:
             run = max(task.attempts)
-            if not task.attempts[run].is_proved:
+            if not task.attempts[run].has_passed_probation:
                 started[get_name(key)] = (run, task.attempts[run].worker_id)
-        elif task.open_start is not None:
-            started[get_name(key)] = task.open_start
+        elif task.unresolved_start is not None:
+            started[get_name(key)] = task.unresolved_start
     return started
 
 
@@ -451,14 +451,14 @@
 
     Returns None if that is unknown or the job has no long-running tasks.
     """
-    if not (job.knows_places and has_long_running(job)):
+    if not (job.are_assignments_known and has_long_running(job)):
         return None
     assigned_workers = {}
     for key, task in _iter_valid_tasks(job):
         if not job.request.steps[key.step].long_running:
             continue
         worker_ids = {run.worker_id for run in task.attempts.values()}
-        worker_ids |= task.unseen_on | task.spares
+        worker_ids |= task.unconfirmed_workers | task.standby_workers
         if worker_ids:
             assigned_workers[get_name(key)] = tuple(sorted(worker_ids))
     return assigned_workers
@@ -471,8 +471,8 @@
     the commit in progress too, so that one must also name the worker.
     """
     return _is_worker_recorded(job.durable, key, worker_id) and (
-        job.committing is None
-        or _is_worker_recorded(job.committing, key, worker_id)
+        job.pending_progress is None
+        or _is_worker_recorded(job.pending_progress, key, worker_id)
     )
 
 
@@ -490,7 +490,7 @@
     A job whose past is unknown is left out until it is in a final state, as
     the stored progress says more than the state in memory.
     """
-    if job.is_past_unknown and job.state not in FINAL_STATES:
+    if job.is_progress_unknown and job.state not in FINAL_STATES:
         return
     if not state.dirty_jobs:
         state.dirty_since_ms = state.now_ms
@@ -499,16 +499,16 @@
 
 def open_steps(job: Job, state: SchedulerState) -> None:
     """Make the tasks of all steps ready whose dependencies are done."""
-    if job.state in FINAL_STATES or job.is_cancelled or job.is_past_unknown:
+    if job.state in FINAL_STATES or job.is_cancelled or job.is_progress_unknown:
         return
     _open_transferred(job, state)
-    if job.is_guest:
+    if job.is_transferred:
         return
     for occurrence in range(job.request.occurrence_count):
         if not _is_occurrence_due(job, occurrence, state):
             return
         for number in _iter_openable(job, occurrence):
-            job.opened.add((occurrence, number))
+            job.opened_steps.add((occurrence, number))
             _open_step(job, occurrence, number, state)
 
 
@@ -529,7 +529,7 @@
 def _iter_openable(job: Job, occurrence: int) -> t.Iterator[int]:
     """Yield the numbers of unopened steps whose dependencies are done."""
     for number, step in enumerate(job.request.steps):
-        if (occurrence, number) in job.opened:
+        if (occurrence, number) in job.opened_steps:
             continue
         if not any(job.remaining[occurrence, other] for other in step.after):
             yield number
@@ -606,5 +606,5 @@
 
 def _tell_failed(job: Job, context: Context) -> None:
     """Notify other units of a failure if they may run tasks of the job."""
-    if job.is_guest or job.passed:
+    if job.is_transferred or job.passed:
         context.emit(FailJob(job.job_id, job.reason))
--- a/src/tulippin/jobs/_ownership.py
+++ b/src/tulippin/jobs/_ownership.py
@@ -361,7 +361,7 @@
     rostered = [
         worker
         for worker in state.workers.values()
-        if worker.is_rostered and not worker.is_over
+        if worker.is_rostered and not worker.is_superseded
     ]
     reached_count = sum(not worker.failed_count for worker in rostered)
     return 2 * reached_count > len(rostered)
--- a/src/tulippin/jobs/_pacing.py
+++ b/src/tulippin/jobs/_pacing.py
@@ -72,8 +72,8 @@
     """Choose and send the paces of a worker's opportunistic runs."""
     fillers = _list_running(worker)
     if not fillers:
-        worker.missed_since_ms = 0
-        worker.calm_since_ms = 0
+        worker.targets_missed_since_ms = 0
+        worker.targets_met_since_ms = 0
         return
     _limit_adopted(worker, fillers, context)
     _choose_paces(worker, fillers, context)
@@ -114,7 +114,7 @@
 
 def _pause_unreported(worker: Worker, context: Context) -> None:
     fillers = _list_running(worker)
-    if any(attempt.wanted_percent for attempt in fillers):
+    if any(attempt.target_pace_percent for attempt in fillers):
         worker.pace_changed_ms = context.state.now_ms
         _interference.forget_view(worker)
         context.log(
@@ -124,7 +124,7 @@
             fillers=len(fillers),
         )
     for attempt in fillers:
-        attempt.wanted_percent = 0
+        attempt.target_pace_percent = 0
         send_if_changed(attempt, worker, context)
 
 
@@ -136,18 +136,20 @@
     worst = max(worker.serving.values(), key=_get_ratio, default=None)
     ratio = 0.0 if worst is None else _get_ratio(worst)
     _track_miss(worker, ratio, state)
-    missed_for_ms = state.now_ms - (worker.missed_since_ms or state.now_ms)
+    missed_for_ms = state.now_ms - (
+        worker.targets_missed_since_ms or state.now_ms
+    )
     percent = 0 if missed_for_ms >= _PAUSE_DELAY_MS else _FULL_PERCENT
-    before = [attempt.wanted_percent for attempt in fillers]
+    before = [attempt.target_pace_percent for attempt in fillers]
     may_raise = state.now_ms - worker.pace_changed_ms >= _RAISE_DELAY_MS
     for attempt in fillers:
         wanted = percent
         if attempt.is_slow_start:
             wanted = _slow_start.adjust_pace(attempt, worker, ratio, state)
-        if wanted < attempt.wanted_percent or may_raise:
-            attempt.wanted_percent = wanted
+        if wanted < attempt.target_pace_percent or may_raise:
+            attempt.target_pace_percent = wanted
     _move_slowed(fillers, context)
-    after = [attempt.wanted_percent for attempt in fillers]
+    after = [attempt.target_pace_percent for attempt in fillers]
     if before == after:
         return
     _interference.forget_view(worker)
@@ -174,12 +176,14 @@
     if ratio > _MISS_RATIO:
         is_inherited = now_ms - state.ownership.taken_ms < _INHERITED_MISS_MS
         since_ms = now_ms - _PAUSE_DELAY_MS if is_inherited else now_ms
-        worker.missed_since_ms = worker.missed_since_ms or since_ms
-        worker.calm_since_ms = 0
+        worker.targets_missed_since_ms = (
+            worker.targets_missed_since_ms or since_ms
+        )
+        worker.targets_met_since_ms = 0
         return
-    worker.calm_since_ms = worker.calm_since_ms or now_ms
-    if now_ms - worker.calm_since_ms >= _RECOVERY_MS:
-        worker.missed_since_ms = 0
+    worker.targets_met_since_ms = worker.targets_met_since_ms or now_ms
+    if now_ms - worker.targets_met_since_ms >= _RECOVERY_MS:
+        worker.targets_missed_since_ms = 0
 
 
 def _get_ratio(attempt: Attempt) -> float:
@@ -194,15 +198,15 @@
     """
     now_ms = context.state.now_ms
     for attempt in fillers:
-        if attempt.wanted_percent and not _is_held_back(attempt):
-            attempt.slowed_ms = 0
+        if attempt.target_pace_percent and not _is_held_back(attempt):
+            attempt.slowed_since_ms = 0
             continue
-        attempt.slowed_ms = attempt.slowed_ms or now_ms
+        attempt.slowed_since_ms = attempt.slowed_since_ms or now_ms
         is_cheap = (
             attempt.step.checkpointing
             or attempt.progress_percent < _MAX_LOST_PROGRESS_PERCENT
         )
-        is_long = now_ms - attempt.slowed_ms >= _MOVE_DELAY_MS
+        is_long = now_ms - attempt.slowed_since_ms >= _MOVE_DELAY_MS
         may_go = is_cheap and _availability.may_end(attempt, context)
         if may_go and is_long and _fits_elsewhere(attempt, context):
             _attempts.avoid(attempt, context)
@@ -211,7 +215,7 @@
 
 def _is_held_back(attempt: Attempt) -> bool:
     """Whether a slow-started run would end much sooner at full pace."""
-    is_held = attempt.wanted_percent <= _HELD_BACK_PERCENT
+    is_held = attempt.target_pace_percent <= _HELD_BACK_PERCENT
     return attempt.is_slow_start and is_held
 
 
@@ -220,7 +224,7 @@
     if _scoring.fits_elsewhere(attempt, context):
         return True
     # A slow start elsewhere only improves on a run that is paused here.
-    is_paused = attempt.is_slow_start and not attempt.wanted_percent
+    is_paused = attempt.is_slow_start and not attempt.target_pace_percent
     return is_paused and _slow_start.has_place_elsewhere(attempt, context)
 
 
@@ -230,23 +234,23 @@
     A run works at full pace until its first pace arrives. The first pace is
     therefore sent as soon as the start is answered.
     """
-    if attempt.pace_percent != attempt.wanted_percent:
+    if attempt.pace_percent != attempt.target_pace_percent:
         _send(attempt, worker, context)
 
 
 def _send(attempt: Attempt, worker: Worker, context: Context) -> None:
     """Send a run's wanted pace, unless it was sent a moment ago."""
     state = context.state
-    if state.now_ms - attempt.paced_ms < _RESEND_INTERVAL_MS:
+    if state.now_ms - attempt.pace_sent_ms < _RESEND_INTERVAL_MS:
         return
-    attempt.paced_ms = state.now_ms
+    attempt.pace_sent_ms = state.now_ms
     context.emit(
         PaceRun(
             worker.worker_id,
             worker.entry.address,
             attempt.key,
             attempt.run,
-            attempt.wanted_percent,
+            attempt.target_pace_percent,
             context.fencing_token,
         )
     )
@@ -265,8 +269,8 @@
     attempt = worker.attempts.get((event.key, event.run))
     if attempt is None:
         return
-    attempt.paced_ms = 0
+    attempt.pace_sent_ms = 0
     if event.answer.outcome is StartOutcome.STARTED:
         attempt.pace_percent = event.percent
         # A paused task could not make progress until now.
-        attempt.worked_ms = state.now_ms
+        attempt.last_progress_ms = state.now_ms
--- a/src/tulippin/jobs/_passing.py
+++ b/src/tulippin/jobs/_passing.py
@@ -27,9 +27,9 @@
 from tulippin.jobs.state import (
     RUNS_PER_EPOCH,
     Job,
-    PassedTask,
     SchedulerState,
     Task,
+    TransferredTask,
 )
 from tulippin.jobs.types import Step, TaskKey, parse_task
 
@@ -151,8 +151,8 @@
     )
     # Runs are numbered by epoch, so numbers of the next epoch are above all
     # runs of this unit.
-    least_run = task.least_run + (context.fencing_token + 1) * RUNS_PER_EPOCH
-    job.passed[task.key] = PassedTask(unit, number, least_run)
+    run_floor = task.run_floor + (context.fencing_token + 1) * RUNS_PER_EPOCH
+    job.passed[task.key] = TransferredTask(unit, number, run_floor)
     _ready.remove(task.key, step, state)
     if not _lifecycle.is_here(job, _lifecycle.get_first_task(job)):
         # From here on the other unit reports whether the job has begun.
@@ -194,7 +194,7 @@
 def _get_last_transfer(job: Job, key: TaskKey) -> int:
     """Return the number of a task's last transfer from here, or 0."""
     passed = job.passed.get(key)
-    return passed.pass_number if passed else 0
+    return passed.transfer_number if passed else 0
 
 
 def has_unit_for(step: Step, state: SchedulerState) -> bool:
@@ -238,8 +238,8 @@
     if job.durable is None or not job.durable.passed:
         return
     by_unit: dict[int, dict[str, tuple[int, int]]] = {}
-    for name, (unit, number, least_run) in job.durable.passed.items():
-        by_unit.setdefault(unit, {})[name] = number, least_run
+    for name, (unit, number, run_floor) in job.durable.passed.items():
+        by_unit.setdefault(unit, {})[name] = number, run_floor
     for unit, tasks in by_unit.items():
         record = GuestRecord(
             job.queue,
--- a/src/tulippin/jobs/_placing.py
+++ b/src/tulippin/jobs/_placing.py
@@ -285,7 +285,7 @@
         state = self.context.state
         if not job.request.steps[step_key[2]].long_running:
             return False
-        if state.now_ms - job.known_ms < _GATHER_DELAY_MS:
+        if state.now_ms - job.first_seen_ms < _GATHER_DELAY_MS:
             return True
         if self.rebalancing_steps is None:
             self.rebalancing_steps = _evening.list_held_steps(state)
@@ -329,7 +329,7 @@
         attempt = _starting.add_run(job, step, task, worker, self.context)
         if pace_percent is not None:
             attempt.is_slow_start = True
-            attempt.wanted_percent = pace_percent
+            attempt.target_pace_percent = pace_percent
             _interference.forget_view(worker)
         _starting.send(attempt, job, self.context)
         self.budget -= 1
--- a/src/tulippin/jobs/_ranking.py
+++ b/src/tulippin/jobs/_ranking.py
@@ -112,7 +112,7 @@
     """
     step = job.request.steps[step_key[2]]
     if step.long_running:
-        batch = job.known_ms // _BATCH_WINDOW_MS
+        batch = job.first_seen_ms // _BATCH_WINDOW_MS
         order = (
             -demand[step.image],
             step.image,
--- a/src/tulippin/jobs/_ready.py
+++ b/src/tulippin/jobs/_ready.py
@@ -32,7 +32,7 @@
     tasks = queue.setdefault(get_step_key(task.key), {})
     if task.key not in tasks:
         task.ready_ms = state.now_ms
-    if task.least_run and task.has_run:
+    if task.run_floor and task.has_run:
         # It has already waited in the unit that transferred it.
         task.ready_ms = min(task.ready_ms, state.now_ms - OVERDUE_MS)
     tasks[task.key] = task
@@ -75,7 +75,7 @@
     never ran wait as for any new work. While it is unknown which tasks of a
     resumed job ran, all of them count.
     """
-    return task.has_run or (job.is_resumed and not job.knows_begun)
+    return task.has_run or (job.is_resumed and not job.are_started_tasks_known)
 
 
 def has_runs(job: Job) -> bool:
--- a/src/tulippin/jobs/_refusals.py
+++ b/src/tulippin/jobs/_refusals.py
@@ -298,4 +298,4 @@
     free = worker.free
     if free.cpu_millicores < step.reserved.cpu_millicores:
         return 'processors'
-    return 'takes_it' if worker.has_room(step.reserved) else 'memory'
+    return 'takes_it' if worker.has_capacity(step.reserved) else 'memory'
--- a/src/tulippin/jobs/_reports.py
+++ b/src/tulippin/jobs/_reports.py
@@ -38,7 +38,7 @@
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
-    worker.is_holding = False
+    worker.is_hold_in_flight = False
     worker.answered_ms = _get_answered_ms(event, context)
     if worker.failed_count:
         context.log('worker answers again', worker=worker.worker_id)
@@ -50,15 +50,15 @@
     for row in event.report.running:
         present.add((row.key, row.run))
         _process_running(worker, row, context)
-    for run_id in worker.strays.keys() - present:
-        del worker.strays[run_id]
-    _unseen.note_answer(worker, state, is_whole=not worker.early_ends)
+    for run_id in worker.orphaned_runs.keys() - present:
+        del worker.orphaned_runs[run_id]
+    _unseen.note_answer(worker, state, is_whole=not worker.deferred_ends)
     for attempt in list(worker.attempts.values()):
         # A run with a deferred end is over; that end holds its outcome.
-        is_early = attempt.key in worker.early_ends
+        is_early = attempt.key in worker.deferred_ends
         if not is_early and (attempt.key, attempt.run) not in present:
             _judge_missing(attempt, event, context)
-    if worker.ends_read > worker.last_seen or worker.early_ends:
+    if worker.last_read_end_number > worker.last_seen or worker.deferred_ends:
         worker.hold_after_ms = state.now_ms + _UNACKNOWLEDGED_PAUSE_MS
 
 
@@ -85,32 +85,32 @@
     """
     state = context.state
     is_new_owner = state.now_ms - state.ownership.taken_ms < _JOB_FEED_DELAY_MS
-    worker.early_ends.clear()
+    worker.deferred_ends.clear()
     for ended in event.report.ended:
-        if ended.number <= worker.ends_read:
+        if ended.number <= worker.last_read_end_number:
             continue
         is_early = is_new_owner and ended.key.job_id not in state.jobs
-        if is_early or worker.early_ends:
-            worker.early_ends.add(ended.key)
+        if is_early or worker.deferred_ends:
+            worker.deferred_ends.add(ended.key)
             continue
-        worker.ends_read = ended.number
+        worker.last_read_end_number = ended.number
         _attempts.take_end(worker, ended, context)
 
 
-def adopt_strays(job: Job, context: Context) -> None:
+def adopt_orphaned_runs(job: Job, context: Context) -> None:
     """Adopt runs of a job that were reported before the job was received.
 
     A running one is adopted and stopped. A task whose end was deferred is
     marked as possibly running on that worker until the end is read.
     """
     for worker in context.state.workers.values():
-        for key in worker.early_ends:
+        for key in worker.deferred_ends:
             if key.job_id == job.job_id and has_task(job.request, key):
                 task = _lifecycle.get_task(job, key)
-                task.unseen_on.add(worker.worker_id)
-        for key, run in list(worker.strays):
+                task.unconfirmed_workers.add(worker.worker_id)
+        for key, run in list(worker.orphaned_runs):
             if key.job_id == job.job_id:
-                del worker.strays[key, run]
+                del worker.orphaned_runs[key, run]
                 row = RunningTask(key, run, '', 0, None)
                 attempt = _adopt_run(worker, row, context)
                 if attempt is not None:
@@ -142,7 +142,7 @@
     _update_load(attempt, row.load, state.now_ms)
     # A run without a reported load is assumed to make progress.
     if row.load is None or row.load > 0:
-        attempt.worked_ms = state.now_ms
+        attempt.last_progress_ms = state.now_ms
 
 
 def _update_load(attempt: Attempt, load: float | None, now_ms: int) -> None:
@@ -155,8 +155,8 @@
         _tails.note_load(attempt, load, now_ms)
         return
     attempt.load = 0.0
-    attempt.past_load = 0.0
-    attempt.past_load_ms = 0
+    attempt.previous_load = 0.0
+    attempt.previous_load_ms = 0
 
 
 def _adopt_run(
@@ -220,10 +220,10 @@
     state = context.state
     run_id = (row.key, row.run)
     never_ms = -_attempts.STOP_AGAIN_MS
-    sent_ms = worker.strays.get(run_id, never_ms)
+    sent_ms = worker.orphaned_runs.get(run_id, never_ms)
     if state.now_ms - sent_ms < _attempts.STOP_AGAIN_MS:
         return
-    worker.strays[run_id] = state.now_ms
+    worker.orphaned_runs[run_id] = state.now_ms
     context.log(
         'stop orphaned run',
         task=row.key.format(),
@@ -253,7 +253,7 @@
         return
     if attempt.state is AttemptState.STOPPING:
         is_settled = (
-            attempt.stop_is_settled and attempt.seen_ms < event.sent_ms
+            attempt.is_stop_confirmed and attempt.seen_ms < event.sent_ms
         ) or (
             attempt.start_deadline_ms
             and clock_ms > attempt.start_deadline_ms
--- a/src/tulippin/jobs/_slow_start.py
+++ b/src/tulippin/jobs/_slow_start.py
@@ -153,7 +153,10 @@
     best: Worker | None = None
     best_rank = (True, 0.0, 0.0)
     for worker in state.workers.values():
-        if worker.missed_since_ms or _count_slow_runs(worker) >= max_slow_runs:
+        if (
+            worker.targets_missed_since_ms
+            or _count_slow_runs(worker) >= max_slow_runs
+        ):
             continue
         if not _feasibility.is_feasible(
             worker, job, task, step, state, has_waited=True
@@ -218,7 +221,7 @@
     state : SchedulerState
         Holds the model.
     """
-    if worker.missed_since_ms:
+    if worker.targets_missed_since_ms:
         return 0
     tolerated = _get_pace(
         _compute_tolerated_percent(
@@ -227,7 +230,7 @@
     )
     if ratio > _TIGHT_RATIO:
         return max(tolerated, _get_min_pace(state))
-    return max(tolerated, attempt.wanted_percent, _MIN_PACE_PERCENT)
+    return max(tolerated, attempt.target_pace_percent, _MIN_PACE_PERCENT)
 
 
 def has_place_elsewhere(attempt: Attempt, context: Context) -> bool:
--- a/src/tulippin/jobs/_soundness.py
+++ b/src/tulippin/jobs/_soundness.py
@@ -38,15 +38,15 @@
     """
     state = context.state
     if _is_unwell(worker, context):
-        worker.unwell_since_ms = worker.unwell_since_ms or state.now_ms
+        worker.unhealthy_since_ms = worker.unhealthy_since_ms or state.now_ms
     else:
-        worker.unwell_since_ms = 0
+        worker.unhealthy_since_ms = 0
     stalled = [
         attempt
         for attempt in worker.attempts.values()
         if _is_stalled(attempt, context)
     ]
-    lasted_ms = state.now_ms - (worker.unwell_since_ms or state.now_ms)
+    lasted_ms = state.now_ms - (worker.unhealthy_since_ms or state.now_ms)
     if lasted_ms < _UNHEALTHY_AFTER_MS and not stalled:
         return
     if worker.quarantined_until_ms < state.now_ms:
@@ -88,11 +88,13 @@
     """Whether a task that may work has used no processor time for a while."""
     if attempt.step.target_ms or attempt.state is not AttemptState.RUNNING:
         return False
-    if attempt.wanted_percent < 100 or attempt.pace_percent != 100:
+    if attempt.target_pace_percent < 100 or attempt.pace_percent != 100:
         return False
     if attempt.step.gang or attempt.progress_percent >= 100:
         return False
-    since_ms = max(attempt.worked_ms, attempt.seen_ms, attempt.paced_ms)
+    since_ms = max(
+        attempt.last_progress_ms, attempt.seen_ms, attempt.pace_sent_ms
+    )
     return context.state.now_ms - since_ms > _STALLED_AFTER_MS
 
 
--- a/src/tulippin/jobs/_spares.py
+++ b/src/tulippin/jobs/_spares.py
@@ -16,7 +16,7 @@
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
 
-_LongRunningTask: t.TypeAlias = tuple[Job, Task, Step]
+_TaskOfStep: t.TypeAlias = tuple[Job, Task, Step]
 
 _CHECK_INTERVAL_MS: t.Final = 200
 _STANDBYS_PER_TASK: t.Final = 2
@@ -31,7 +31,7 @@
     if not (context.may_order and is_due):
         return
     state.spares_looked_ms = state.now_ms
-    unprepared: list[_LongRunningTask] = []
+    unprepared: list[_TaskOfStep] = []
     for worker in state.workers.values():
         tasks = _list_long_running(worker, context)
         if _has_to_be_vacated(worker):
@@ -44,9 +44,7 @@
         _assign_standbys(job, task, step, state)
 
 
-def _list_long_running(
-    worker: Worker, context: Context
-) -> list[_LongRunningTask]:
+def _list_long_running(worker: Worker, context: Context) -> list[_TaskOfStep]:
     """Return the long-running tasks that run on a worker."""
     tasks = []
     for attempt in worker.attempts.values():
@@ -71,7 +69,9 @@
     """
     if task.crashes:
         return False
-    standbys = [state.workers.get(worker_id) for worker_id in task.spares]
+    standbys = [
+        state.workers.get(worker_id) for worker_id in task.standby_workers
+    ]
     return not any(
         _feasibility.is_feasible(worker, job, task, step, state)
         for worker in standbys
@@ -84,19 +84,21 @@
 ) -> None:
     """Assign the best workers as standby workers of a task."""
     best = _choosing.rank_workers(job, task, step, state)
-    spares = frozenset(one.worker_id for one in best[:_STANDBYS_PER_TASK])
-    if spares != task.spares:
-        task.spares = spares
+    standby_workers = frozenset(
+        one.worker_id for one in best[:_STANDBYS_PER_TASK]
+    )
+    if standby_workers != task.standby_workers:
+        task.standby_workers = standby_workers
         _lifecycle.mark_dirty(job, state)
 
 
 def _clear_standbys(
-    tasks: t.Iterable[_LongRunningTask], state: SchedulerState
+    tasks: t.Iterable[_TaskOfStep], state: SchedulerState
 ) -> None:
     """Clear the standby workers of tasks that no longer have to move."""
     for job, task, _ in tasks:
-        if task.spares:
-            task.spares = frozenset()
+        if task.standby_workers:
+            task.standby_workers = frozenset()
             _lifecycle.mark_dirty(job, state)
 
 
@@ -104,5 +106,5 @@
     """Whether one of a task's standby workers is durable."""
     return any(
         _lifecycle.is_place_durable(job, task.key, worker_id)
-        for worker_id in task.spares
+        for worker_id in task.standby_workers
     )
--- a/src/tulippin/jobs/_starting.py
+++ b/src/tulippin/jobs/_starting.py
@@ -35,7 +35,7 @@
     """
     state = context.state
     run = context.fencing_token * RUNS_PER_EPOCH + task.run_count
-    run += task.least_run
+    run += task.run_floor
     attempt = Attempt(
         task.key,
         run,
@@ -52,7 +52,7 @@
         job, task.key, worker.worker_id
     ):
         attempt.is_ordered = False
-    task.spares = frozenset()
+    task.standby_workers = frozenset()
     _ready.remove(task.key, step, state)
     return attempt
 
@@ -96,7 +96,7 @@
         waited_ms=state.now_ms - job.arrived_ms,
         reserved_millicores=worker.reserved.cpu_millicores,
         list_age_ms=state.now_ms - worker.answered_ms,
-        pace_percent=attempt.wanted_percent,
+        pace_percent=attempt.target_pace_percent,
         crashes=len(task.crashes),
     )
     context.emit(
--- a/src/tulippin/jobs/_tails.py
+++ b/src/tulippin/jobs/_tails.py
@@ -76,15 +76,15 @@
     attempt.load = load
     if not attempt.step.target_ms:
         return
-    interval_ms = now_ms - attempt.past_load_ms
-    if attempt.past_load > 0 and load > 0:
+    interval_ms = now_ms - attempt.previous_load_ms
+    if attempt.previous_load > 0 and load > 0:
         if interval_ms < MIN_READING_INTERVAL_MS:
             return
         kept = 0.5 ** (interval_ms / _SMOOTHING_HALF_LIFE_MS)
-        load = (load - kept * attempt.past_load) / (1 - kept)
+        load = (load - kept * attempt.previous_load) / (1 - kept)
     attempt.tail_ms = max(load, _MIN_TAIL_MS)
-    attempt.past_load = attempt.load
-    attempt.past_load_ms = now_ms
+    attempt.previous_load = attempt.load
+    attempt.previous_load_ms = now_ms
 
 
 def record_sibling_tail(attempt: Attempt, state: SchedulerState) -> None:
@@ -145,7 +145,9 @@
         return
     own_load = 1 - idle_ms / max(attempt.tail_ms, idle_ms)
     factor = min(max(own_load / job_load, 1.0), _MAX_LOAD_FACTOR)
-    attempt.load_part += _LOAD_FACTOR_RATE * (factor - attempt.load_part)
+    attempt.sibling_load_factor += _LOAD_FACTOR_RATE * (
+        factor - attempt.sibling_load_factor
+    )
 
 
 def learn_load_cycle(
@@ -163,7 +165,7 @@
         Expected excess caused by its neighbours, and the spread of that
         estimate. The smaller both are, the more the tail counts.
     """
-    if attempt.tail_ms <= 0 or attempt.past_load_ms != state.now_ms:
+    if attempt.tail_ms <= 0 or attempt.previous_load_ms != state.now_ms:
         return
     at_ms = state.now_ms - _TAIL_AGE_MS
     idle_ms = get_idle_ms(attempt, state)
@@ -172,7 +174,7 @@
     weight = 1 / (1 + uncertainty * uncertainty)
     predicted = state.swings.predict_load(attempt.key.job_id, at_ms)
     if predicted is not None and predicted > _MIN_JOB_LOAD:
-        excess = own_load - predicted * attempt.swing_part
+        excess = own_load - predicted * attempt.cycle_load_factor
         if excess > _UNEXPLAINED_LOAD:
             # An unknown disturbance slows the task.
             weight *= _UNEXPLAINED_WEIGHT
@@ -180,10 +182,10 @@
             factor = min(
                 max(own_load / predicted, _MIN_LOAD_FACTOR), _MAX_LOAD_FACTOR
             )
-            attempt.swing_part += _CYCLE_FACTOR_RATE * (
-                factor - attempt.swing_part
+            attempt.cycle_load_factor += _CYCLE_FACTOR_RATE * (
+                factor - attempt.cycle_load_factor
             )
-    load = own_load / attempt.swing_part
+    load = own_load / attempt.cycle_load_factor
     state.swings.learn(attempt.key.job_id, at_ms, load, weight)
 
 
@@ -205,7 +207,7 @@
         if predicted is None:
             return None
         highest = max(highest, predicted)
-    return highest * attempt.swing_part
+    return highest * attempt.cycle_load_factor
 
 
 def get_load(
@@ -237,7 +239,7 @@
     alone_ms = get_undisturbed_ms(attempt, state)
     if alone_ms > 0:
         load = 1 - idle_ms / max(alone_ms, idle_ms)
-        load *= attempt.load_part
+        load *= attempt.sibling_load_factor
     elif attempt.tail_ms > 0:
         slowdown = 1 + expected
         load = 1 / slowdown - idle_ms / max(attempt.tail_ms, idle_ms)
--- a/src/tulippin/jobs/_trials.py
+++ b/src/tulippin/jobs/_trials.py
@@ -69,7 +69,7 @@
     """
     if not task.crashes:
         return
-    worker.trials[attempt.key, attempt.run] = attempt
+    worker.probation_runs[attempt.key, attempt.run] = attempt
     attempt.is_ordered = False
     if not needs_isolation(task):
         return
@@ -83,11 +83,11 @@
 def may_join(worker: Worker, task: Task, state: SchedulerState) -> bool:
     """Whether the suspected runs on a worker permit a task's start there."""
     is_isolated = needs_isolation(task)
-    if not (worker.trials or is_isolated):
+    if not (worker.probation_runs or is_isolated):
         return True
     if is_isolated and state.now_ms - worker.answered_ms > _MAX_ANSWER_AGE_MS:
         return False
-    for attempt in worker.trials.values():
+    for attempt in worker.probation_runs.values():
         is_own_gang = attempt.step.gang and attempt.key[:3] == task.key[:3]
         if is_own_gang or not is_on_probation(attempt, worker):
             continue
@@ -104,10 +104,10 @@
             attempt.crash_count >= ISOLATING_CRASH_COUNT
             and attempt.key[:3] != task.key[:3]
             and is_on_probation(attempt, worker)
-            for attempt in worker.trials.values()
+            for attempt in worker.probation_runs.values()
         )
         for worker in state.workers.values()
-        if worker.trials
+        if worker.probation_runs
     )
     return closed_count < max(1, _MAX_CLOSED_SHARE * len(state.workers))
 
@@ -138,7 +138,7 @@
             is_recent(attempt, worker) for attempt in worker.attempts.values()
         )
         return _RECENT_WEIGHT * recent_count + _get_loss(worker)
-    return len(worker.trials)
+    return len(worker.probation_runs)
 
 
 def _get_loss(worker: Worker) -> float:
@@ -158,5 +158,6 @@
 def has_trials(worker: Worker) -> bool:
     """Whether a worker has a suspected run that is on probation."""
     return any(
-        is_on_probation(attempt, worker) for attempt in worker.trials.values()
+        is_on_probation(attempt, worker)
+        for attempt in worker.probation_runs.values()
     )
--- a/src/tulippin/jobs/_unseen.py
+++ b/src/tulippin/jobs/_unseen.py
@@ -45,12 +45,12 @@
     """
     drift = state.config.clock_drift_ratio
     at_ms = state.now_ms + int(lasting_ms * drift) + _LAPSE_SLACK_MS
-    worker.lapse_at_ms = max(worker.lapse_at_ms, at_ms)
+    worker.lease_expiry_ms = max(worker.lease_expiry_ms, at_ms)
 
 
 def are_runs_confirmed(worker: Worker, state: SchedulerState) -> bool:
     """Whether a worker can't have unconfirmed runs of an earlier owner."""
-    return worker.is_reconciled or state.now_ms > worker.lapse_at_ms
+    return worker.is_reconciled or state.now_ms > worker.lease_expiry_ms
 
 
 def is_settled(state: SchedulerState) -> bool:
@@ -58,7 +58,7 @@
     return state.now_ms > state.unsettled_until_ms and all(
         are_runs_confirmed(worker, state)
         for worker in state.workers.values()
-        if worker.may_run_anything
+        if worker.may_run_any_task
     )
 
 
@@ -74,7 +74,7 @@
 def get_awaited_ms(state: SchedulerState) -> int:
     """Return the time until all unconfirmed runs have lapsed, at most."""
     lapse_times_ms = [
-        state.workers[worker_id].lapse_at_ms
+        state.workers[worker_id].lease_expiry_ms
         for worker_id in list_awaited(state)
     ]
     return max(0, max(lapse_times_ms, default=0) - state.now_ms)
@@ -91,11 +91,11 @@
     if state.is_settled or not is_settled(state):
         return []
     state.is_settled = True
-    awaiting = [job for job in state.jobs.values() if job.awaits_workers]
+    awaiting = [job for job in state.jobs.values() if job.awaits_confirmation]
     for job in state.jobs.values():
-        job.awaits_workers = False
-        if not job.knows_places:
-            job.knows_places = True
+        job.awaits_confirmation = False
+        if not job.are_assignments_known:
+            job.are_assignments_known = True
             _lifecycle.mark_dirty(job, state)
     return awaiting
 
@@ -105,8 +105,8 @@
 
     Any of these workers may have unconfirmed runs of the tasks.
     """
-    is_recorded = step.long_running and job.knows_places
-    return job.awaits_workers and not is_recorded
+    is_recorded = step.long_running and job.are_assignments_known
+    return job.awaits_confirmation and not is_recorded
 
 
 def is_awaited(task: Task, state: SchedulerState) -> bool:
@@ -115,15 +115,15 @@
     Workers that can't have unconfirmed runs any more are removed from the
     task.
     """
-    if not task.unseen_on:
+    if not task.unconfirmed_workers:
         return False
-    task.unseen_on = {
+    task.unconfirmed_workers = {
         worker_id
-        for worker_id in task.unseen_on
+        for worker_id in task.unconfirmed_workers
         if worker_id in state.workers
         and not are_runs_confirmed(state.workers[worker_id], state)
     }
-    return bool(task.unseen_on)
+    return bool(task.unconfirmed_workers)
 
 
 def note_answer(
@@ -137,7 +137,7 @@
     that leaves soon after wait for 10.6 s, where owners grant 4.5 s.
     """
     if not worker.is_reconciled:
-        worker.lapse_at_ms = 0
+        worker.lease_expiry_ms = 0
         extend_lapse(worker, state.config.worker_lease_ms, state)
     worker.is_reconciled = is_whole
 
@@ -162,18 +162,18 @@
         worker.exposure = None
         reported = reports.get(worker_id) if reports is not None else None
         if reported is not None:
-            worker.may_run_anything = reported.tasks is None
+            worker.may_run_any_task = reported.tasks is None
             # The reported duration includes drift and slack already.
-            worker.lapse_at_ms = state.now_ms + reported.lasting_ms
+            worker.lease_expiry_ms = state.now_ms + reported.lasting_ms
         elif reports is None:
-            worker.may_run_anything = True
+            worker.may_run_any_task = True
             extend_lapse(worker, _get_max_inherited_ms(state), state)
         # Otherwise the worker was on the roster without an order, or all of
         # its runs had ended and it was about to be removed.
     unknown_workers = [
         worker_id
         for worker_id, worker in state.workers.items()
-        if worker.may_run_anything
+        if worker.may_run_any_task
     ]
     context.log(
         'account read',
@@ -242,7 +242,7 @@
     if complete:
         for job in state.jobs.values():
             for task in job.tasks.values():
-                task.unseen_on -= complete
+                task.unconfirmed_workers -= complete
     for worker_id, report in reports.items():
         for name in report.tasks or ():
             key = parse_task(name)
@@ -253,10 +253,10 @@
 
 
 def _add_unconfirmed_run(task: Task, worker_id: str) -> None:
-    task.unseen_on.add(worker_id)
-    if task.open_start is None:
+    task.unconfirmed_workers.add(worker_id)
+    if task.unresolved_start is None:
         # Its start may not be durable; the number of the run is unknown.
-        task.open_start = (0, worker_id)
+        task.unresolved_start = (0, worker_id)
 
 
 # -- the release report for the next owner ------------------------------------
@@ -282,7 +282,7 @@
     for job in state.jobs.values():
         for task in job.tasks.values():
             if is_awaited(task, state):
-                for worker_id in task.unseen_on:
+                for worker_id in task.unconfirmed_workers:
                     found.setdefault(worker_id, set()).add(task.key.format())
     return found
 
@@ -291,16 +291,16 @@
     worker: Worker, unconfirmed: set[str], state: SchedulerState
 ) -> WorkerAccount:
     """Return the release report of one worker."""
-    lasting_ms = max(0, worker.lapse_at_ms - state.now_ms)
+    lasting_ms = max(0, worker.lease_expiry_ms - state.now_ms)
     is_silent = worker.failed_count > 0 or not worker.is_reconciled
-    if worker.may_run_anything and not are_runs_confirmed(worker, state):
+    if worker.may_run_any_task and not are_runs_confirmed(worker, state):
         return WorkerAccount(lasting_ms, None, is_silent)
     # An end that isn't durable yet is known only to the worker. Without its
     # task in the report, a task that is done would be started again.
     keys = {attempt.key for attempt in worker.attempts.values()}
-    keys.update(worker.unsettled.values())
-    keys.update(worker.early_ends)
-    keys.update(key for key, _ in worker.strays)
+    keys.update(worker.uncommitted_ends.values())
+    keys.update(worker.deferred_ends)
+    keys.update(key for key, _ in worker.orphaned_runs)
     names = {key.format() for key in keys}
     return WorkerAccount(
         lasting_ms, tuple(sorted(names | unconfirmed)), is_silent
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -79,7 +79,7 @@
             address=entry.address,
             service=entry.service,
         )
-    if worker.is_over:
+    if worker.is_superseded:
         # The list keeps an entry for three heartbeats after the worker ends.
         return
     if worker.is_rostered and worker.entry.address != entry.address:
@@ -90,7 +90,7 @@
     if entry.capacity != worker.entry.capacity:
         _update_capacity(worker, entry, context)
     worker.entry = entry
-    worker.entry_ms = read_ms
+    worker.entry_read_ms = read_ms
     worker.is_listed = True
 
 
@@ -176,9 +176,9 @@
 def _hold_if_due(worker: Worker, context: Context) -> None:
     """Send a hold call, unless one is open or none is needed."""
     state = context.state
-    if worker.is_holding or state.now_ms < worker.hold_after_ms:
+    if worker.is_hold_in_flight or state.now_ms < worker.hold_after_ms:
         return
-    if worker.is_over or not worker.is_rostered:
+    if worker.is_superseded or not worker.is_rostered:
         return
     if not (
         _is_hold_needed(worker)
@@ -195,7 +195,7 @@
         lease_ms = state.config.worker_lease_ms
         deadline_ms = get_clock_ms(worker, state) + lease_ms
         _unseen.extend_lapse(worker, lease_ms, state)
-    worker.is_holding = True
+    worker.is_hold_in_flight = True
     worker.needs_ack = False
     context.emit(
         HoldWorker(
@@ -212,8 +212,10 @@
 def _is_hold_needed(worker: Worker) -> bool:
     """Whether the worker has runs, an unknown state or ends to acknowledge."""
     is_unknown = not worker.is_reconciled or worker.failed_count > 0
-    has_ends = worker.ends_read > worker.last_seen or worker.needs_ack
-    has_runs = bool(worker.attempts or worker.strays)
+    has_ends = (
+        worker.last_read_end_number > worker.last_seen or worker.needs_ack
+    )
+    has_runs = bool(worker.attempts or worker.orphaned_runs)
     return has_runs or is_unknown or has_ends
 
 
@@ -221,7 +223,7 @@
     """Return how long a hold call may wait at the worker for an end."""
     if not worker.is_reconciled or worker.failed_count:
         return 0
-    if worker.strays or _trials.has_trials(worker):
+    if worker.orphaned_runs or _trials.has_trials(worker):
         return _PENDING_HOLD_WAIT_MS
     for attempt in worker.attempts.values():
         if attempt.state in _PENDING_STATES:
@@ -240,7 +242,7 @@
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
-    worker.is_holding = False
+    worker.is_hold_in_flight = False
     if event.is_fenced:
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
@@ -265,11 +267,11 @@
     right after each answer until its last lease expired, 1,770 times a
     second for three workers, which saturates the owner's processor.
     """
-    if worker.is_over:
+    if worker.is_superseded:
         return
     _crashes.note_end_of_life(worker, context)
     _release_runs(worker, context, 'its worker has a new incarnation')
-    worker.is_over = True
+    worker.is_superseded = True
     worker.is_listed = False
     worker.is_reconciled = True
 
@@ -302,7 +304,7 @@
     if outcome is StartOutcome.STARTED:
         attempt.state = AttemptState.RUNNING
         attempt.seen_ms = state.now_ms
-        attempt.worked_ms = state.now_ms
+        attempt.last_progress_ms = state.now_ms
         _attempts.note_running(attempt, context)
         _pacing.send_if_changed(attempt, worker, context)
         return
@@ -336,7 +338,7 @@
         return
     attempt = worker.attempts.get((event.key, event.run))
     if attempt is not None and event.answer.outcome is StartOutcome.STARTED:
-        attempt.stop_is_settled = True
+        attempt.is_stop_confirmed = True
         attempt.seen_ms = state.now_ms
 
 
@@ -349,7 +351,7 @@
         return
     state = context.state
     for worker in list(state.workers.values()):
-        if worker.failed_count and state.now_ms > worker.lapse_at_ms:
+        if worker.failed_count and state.now_ms > worker.lease_expiry_ms:
             _release_runs(worker, context, 'its lease expired')
         _attempts.stop_again(worker, context)
         if _is_forgettable(worker, state):
@@ -365,6 +367,6 @@
     return not (
         worker.is_listed
         or worker.attempts
-        or worker.is_holding
-        or state.now_ms <= worker.lapse_at_ms
+        or worker.is_hold_in_flight
+        or state.now_ms <= worker.lease_expiry_ms
     )
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -190,7 +190,7 @@
         """Return a job and its home unit, if this instance owns that unit."""
         for unit in self.units.values():
             job = unit.state.jobs.get(job_id)
-            if unit.is_owner and job is not None and not job.is_guest:
+            if unit.is_owner and job is not None and not job.is_transferred:
                 return unit, job
         return None
 
--- a/src/tulippin/jobs/state.py
+++ b/src/tulippin/jobs/state.py
@@ -119,19 +119,17 @@
     ``pace_percent`` is the pace that the worker has confirmed, or None if an
     earlier owner may have set another one. ``load`` is the smoothed value that
     the worker reports; ``tail_ms`` is the current tail latency, computed from
-    ``load`` and its earlier value ``past_load``.
-    ``is_slow_start`` marks a run that was started although its worker could
-    not take it at full pace; it yields to all other runs.
-    ``load_part`` is the ratio of the task's load to the lowest load among the
-    other tasks of its job, ``swing_part`` the ratio to the load that the
-    job's load cycle predicts.
-    ``crash_count`` is the number of workers that crashed under the task
-    before. The run is on probation until the worker has survived
-    ``probation_ms`` of it; ``is_proved`` says that it has run long enough not
-    to be suspected of a crash.
-    ``is_ordered`` says that the start order was sent or is about to be. The
-    order of a suspected or long-running task is sent only after the record of
-    that start is durable.
+    ``load`` and its earlier value ``previous_load``. ``is_slow_start`` marks a
+    run that was started although its worker could not take it at full pace; it
+    yields to all other runs. ``sibling_load_factor`` is the ratio of the task's
+    load to the lowest load among the other tasks of its job,
+    ``cycle_load_factor`` the ratio to the load that the job's load cycle
+    predicts. ``crash_count`` is the number of workers that crashed under the
+    task before. The run is on probation until the worker has survived
+    ``probation_ms`` of it; ``has_passed_probation`` says that it has run long
+    enough not to be suspected of a crash. ``is_ordered`` says that the start
+    order was sent or is about to be. The order of a suspected or long-running
+    task is sent only after the record of that start is durable.
     """
 
     key: TaskKey
@@ -144,24 +142,24 @@
     start_deadline_ms: int = 0
     seen_ms: int = 0
     stop_sent_ms: int = 0
-    stop_is_settled: bool = False
+    is_stop_confirmed: bool = False
     checkpoint: str = ''
     progress_percent: int = 0
     pace_percent: int | None = 100
-    wanted_percent: int = 100
-    paced_ms: int = 0
-    slowed_ms: int = 0
+    target_pace_percent: int = 100
+    pace_sent_ms: int = 0
+    slowed_since_ms: int = 0
     load: float = 0.0
     tail_ms: float = 0.0
-    past_load: float = 0.0
-    past_load_ms: int = 0
-    load_part: float = 1.0
-    swing_part: float = 1.0
-    worked_ms: int = 0
+    previous_load: float = 0.0
+    previous_load_ms: int = 0
+    sibling_load_factor: float = 1.0
+    cycle_load_factor: float = 1.0
+    last_progress_ms: int = 0
     is_slow_start: bool = False
     crash_count: int = 0
     probation_ms: int = 0
-    is_proved: bool = False
+    has_passed_probation: bool = False
     is_ordered: bool = True
 
 
@@ -169,12 +167,13 @@
 class Task:
     """A task with its runs.
 
-    ``unseen_on`` holds the workers where an unconfirmed run of the task may
-    go on, started by an earlier owner. ``spares`` are its standby workers.
-    ``has_run`` says whether the owner knows of any run of the task.
-    ``crashes`` holds, by worker, the certain and suspected crashes under the
-    task. ``open_start`` is the run and worker of an earlier owner's last start
-    while its outcome is unknown.
+    ``unconfirmed_workers`` holds the workers where an unconfirmed run of the
+    task may go on, started by an earlier owner. ``standby_workers`` are the
+    workers that are assigned ahead for its next start. ``has_run`` says whether
+    the owner knows of any run of the task. ``crashes`` holds, by worker, the
+    certain and suspected crashes under the task. ``unresolved_start`` is the
+    run and worker of an earlier owner's last start while its outcome is
+    unknown.
     """
 
     key: TaskKey
@@ -186,12 +185,12 @@
     avoided: set[str] = attrs.field(factory=set)
     preempt_after_ms: int = 0
     ready_ms: int = 0
-    least_run: int = 0
-    unseen_on: set[str] = attrs.field(factory=set)
-    spares: frozenset[str] = frozenset()
+    run_floor: int = 0
+    unconfirmed_workers: set[str] = attrs.field(factory=set)
+    standby_workers: frozenset[str] = frozenset()
     has_run: bool = False
     crashes: dict[str, CrashRecord] = attrs.field(factory=dict)
-    open_start: tuple[int, str] | None = None
+    unresolved_start: tuple[int, str] | None = None
 
     def list_crashes(self) -> tuple[CrashRecord, ...]:
         """Return the crashes in the order in which they are stored."""
@@ -199,16 +198,16 @@
 
 
 @attrs.frozen
-class PassedTask:
+class TransferredTask:
     """A task that was transferred to another unit.
 
-    ``pass_number`` counts the transfers of the task, this one included.
-    ``least_run`` is the highest run number that this unit may have started.
+    ``transfer_number`` counts the transfers of the task, this one included.
+    ``run_floor`` is the highest run number that this unit may have started.
     """
 
     unit: int
-    pass_number: int
-    least_run: int
+    transfer_number: int
+    run_floor: int
 
 
 @attrs.define
@@ -216,22 +215,20 @@
     """A job with those of its tasks that have become ready to run.
 
     ``is_resumed`` says that the job had begun before the owner took the unit,
-    ``knows_begun`` that it is known which of its long-running tasks had.
-    ``durable`` is the progress stored last, ``committing`` the progress whose
-    commit is in flight.
-    ``awaits_workers`` says that its tasks may have unconfirmed runs on any
-    worker where an earlier owner's orders are still in effect. With
-    ``knows_places`` this does not apply to long-running tasks, as all workers
-    that may run them are known.
-    ``arrived_ms`` is when the job was accepted, ``known_ms`` when this owner
-    received it, ``idle_since_ms`` when the last of its runs ended.
+    ``are_started_tasks_known`` that it is known which of its long-running tasks
+    had. ``durable`` is the progress stored last, ``pending_progress`` the
+    progress whose commit is in flight. ``awaits_confirmation`` says that its
+    tasks may have unconfirmed runs on any worker where an earlier owner's
+    orders are still in effect. With ``are_assignments_known`` this does not
+    apply to long-running tasks, as all workers that may run them are known.
+    ``arrived_ms`` is when the job was accepted, ``first_seen_ms`` when this
+    owner received it, ``idle_since_ms`` when the last of its runs ended.
     ``failed_on`` holds the workers where one of its runs failed.
-    ``is_past_unknown`` says that its stored progress can't be read, so that
-    none of its tasks may be started. ``is_guest`` marks a transferred job,
-    whose home unit is another one.
-    ``passes`` holds the transfer numbers of tasks that came from other units,
-    ``passed`` the tasks that went to others. ``is_given_up`` says that a unit
-    abandoned the job, for ``reason``.
+    ``is_progress_unknown`` says that its stored progress can't be read, so that
+    none of its tasks may be started. ``is_transferred`` marks a job whose home
+    unit is another one. ``passes`` holds the transfer numbers of tasks that
+    came from other units, ``passed`` the tasks that went to others.
+    ``is_given_up`` says that a unit abandoned the job, for ``reason``.
     ``doubts`` counts how often short tasks of the job may have had an
     unconfirmed run on a worker that died while the unit changed its owner.
     """
@@ -244,26 +241,26 @@
     is_cancelled: bool = False
     has_begun: bool = False
     arrived_ms: int = 0
-    known_ms: int = 0
+    first_seen_ms: int = 0
     finished_ms: int = 0
     idle_since_ms: int = 0
     failed_on: set[str] = attrs.field(factory=set)
     tasks: dict[TaskKey, Task] = attrs.field(factory=dict)
     remaining: dict[tuple[int, int], int] = attrs.field(factory=dict)
-    opened: set[tuple[int, int]] = attrs.field(factory=set)
+    opened_steps: set[tuple[int, int]] = attrs.field(factory=set)
     progress_version: int = 0
     durable: ProgressRecord | None = None
-    committing: ProgressRecord | None = None
-    awaits_workers: bool = False
-    knows_places: bool = True
+    pending_progress: ProgressRecord | None = None
+    awaits_confirmation: bool = False
+    are_assignments_known: bool = True
     is_resumed: bool = False
-    knows_begun: bool = False
-    is_guest: bool = False
-    is_past_unknown: bool = False
+    are_started_tasks_known: bool = False
+    is_transferred: bool = False
+    is_progress_unknown: bool = False
     is_given_up: bool = False
     doubts: int = 0
     passes: dict[TaskKey, int] = attrs.field(factory=dict)
-    passed: dict[TaskKey, PassedTask] = attrs.field(factory=dict)
+    passed: dict[TaskKey, TransferredTask] = attrs.field(factory=dict)
     reason: str = ''
     depths: tuple[int, ...] = (1,)
     tickets: dict[tuple[str, int, int], dict[str, tuple[str, int]]] = (
@@ -279,36 +276,35 @@
 class Worker:
     """A worker with its runs.
 
-    ``clock_offset_ms`` added to the instance's clock gives a lower bound of
-    the worker's clock. At ``lapse_at_ms`` by the instance's clock, every lease
+    ``clock_offset_ms`` added to the instance's clock gives a lower bound of the
+    worker's clock. At ``lease_expiry_ms`` by the instance's clock, every lease
     that this owner's messages may have granted the worker has expired.
-    ``slack`` is the further slowdown that the serving tasks of each image
-    there can take, or None if it has to be recomputed. ``exposure`` is what
-    its opportunistic tasks used at an earlier report, or None if unknown;
-    ``refused_ms`` is when such a sample was last logged as impossible.
-    ``may_run_anything`` says that an earlier owner's orders may still be in
-    effect there for any task.
-    ``leaves_at_ms`` is the earliest end of a draining worker.
-    ``unsettled`` holds the tasks of run ends, by number of the end, that were
-    processed but are not durable yet; ``early_ends`` the tasks whose ends are
-    deferred until their job is known. ``strays`` are orphaned runs, whose job
-    is unknown, with the time of the last order to stop each.
-    ``trials`` are runs on probation: their tasks are suspected of crashing
-    workers. ``is_over`` says that another incarnation of the worker answered
-    at its address.
-    ``entry_ms`` is when the newest read of its entry began.
+    ``slack`` is the further slowdown that the serving tasks of each image there
+    can take, or None if it has to be recomputed. ``exposure`` is what its
+    opportunistic tasks used at an earlier report, or None if unknown;
+    ``rejection_logged_ms`` is when such a sample was last logged as impossible.
+    ``may_run_any_task`` says that an earlier owner's orders may still be in
+    effect there for any task. ``leaves_at_ms`` is the earliest end of a
+    draining worker. ``uncommitted_ends`` holds the tasks of run ends, by number
+    of the end, that were processed but are not durable yet; ``deferred_ends``
+    the tasks whose ends are deferred until their job is known.
+    ``orphaned_runs`` holds the runs whose job is unknown, with the time of the
+    last order to stop each. ``probation_runs`` holds the runs whose tasks are
+    suspected of crashing workers. ``is_superseded`` says that another
+    incarnation of the worker answered at its address. ``entry_read_ms`` is when
+    the newest read of its entry began.
     """
 
     entry: WorkerEntry
     is_listed: bool = True
     clock_offset_ms: int | None = None
-    is_holding: bool = False
+    is_hold_in_flight: bool = False
     answered_ms: int = 0
     failed_count: int = 0
     hold_after_ms: int = 0
-    lapse_at_ms: int = 0
+    lease_expiry_ms: int = 0
     last_seen: int = 0
-    ends_read: int = 0
+    last_read_end_number: int = 0
     attempts: dict[tuple[TaskKey, int], Attempt] = attrs.field(factory=dict)
     reserved: Resources = Resources()
     used_millicores: float | None = None
@@ -317,32 +313,34 @@
     slack: dict[str, float] | None = None
     exposure: dict[str, float] | None = attrs.field(factory=dict)
     exposure_ms: int = 0
-    refused_ms: int | None = None
+    rejection_logged_ms: int | None = None
     leaves_at_ms: int = 0
     failed_jobs: set[str] = attrs.field(factory=set)
     quarantined_until_ms: int = 0
     paused_until_ms: int = 0
-    unwell_since_ms: int = 0
+    unhealthy_since_ms: int = 0
     needs_ack: bool = False
     pace_changed_ms: int = 0
-    missed_since_ms: int = 0
-    calm_since_ms: int = 0
-    unsettled: dict[int, TaskKey] = attrs.field(factory=dict)
-    early_ends: set[TaskKey] = attrs.field(factory=set)
-    strays: dict[tuple[TaskKey, int], int] = attrs.field(factory=dict)
+    targets_missed_since_ms: int = 0
+    targets_met_since_ms: int = 0
+    uncommitted_ends: dict[int, TaskKey] = attrs.field(factory=dict)
+    deferred_ends: set[TaskKey] = attrs.field(factory=set)
+    orphaned_runs: dict[tuple[TaskKey, int], int] = attrs.field(factory=dict)
     is_rostered: bool = False
-    may_run_anything: bool = False
+    may_run_any_task: bool = False
     is_reconciled: bool = False
-    trials: dict[tuple[TaskKey, int], Attempt] = attrs.field(factory=dict)
-    is_over: bool = False
-    entry_ms: int = 0
+    probation_runs: dict[tuple[TaskKey, int], Attempt] = attrs.field(
+        factory=dict
+    )
+    is_superseded: bool = False
+    entry_read_ms: int = 0
 
     @property
     def worker_id(self) -> str:
         """The worker's id, which names one incarnation of the worker."""
         return self.entry.worker_id
 
-    def has_room(self, wanted: Resources) -> bool:
+    def has_capacity(self, wanted: Resources) -> bool:
         """Whether the worker has the wanted resources free.
 
         This is called for each pair of worker and waiting step, so it compares
--- a/tests/tulippin/jobs/test_accounts.py
+++ b/tests/tulippin/jobs/test_accounts.py
@@ -263,7 +263,7 @@
 def test_rostered_worker_not_in_valid_report_is_not_awaited():
     account = AccountRecord(3, {'reported': WorkerAccount(4000, ('a.0.0.0',))})
     state = make_state_with_report(account)
-    assert not state.workers['unreported'].may_run_anything
+    assert not state.workers['unreported'].may_run_any_task
     assert is_settled(state)
     assert get_awaited_ms(state) == 4000
 
@@ -274,7 +274,7 @@
         epoch, {'reported': WorkerAccount(4000, ('a.0.0.0',))}
     )
     state = make_state_with_report(account)
-    assert state.workers['unreported'].may_run_anything
+    assert state.workers['unreported'].may_run_any_task
     assert not is_settled(state)
 
 
--- a/tests/tulippin/jobs/test_availability.py
+++ b/tests/tulippin/jobs/test_availability.py
@@ -18,10 +18,10 @@
     Attempt,
     AttemptState,
     Job,
-    PassedTask,
     Phase,
     SchedulerConfig,
     SchedulerState,
+    TransferredTask,
     Worker,
 )
 from tulippin.jobs.types import (
@@ -136,7 +136,7 @@
 
 
 def transfer(state, job):
-    job.passed[TaskKey(JOB, 0, 0, 1)] = PassedTask(2, 1, 0)
+    job.passed[TaskKey(JOB, 0, 0, 1)] = TransferredTask(2, 1, 0)
 
 
 UNAVAILABLE_STATES = [
@@ -180,7 +180,7 @@
 def test_transferred_job_counts_tasks_of_other_units_as_unavailable():
     state, job = make_serving_state()
     key = TaskKey(JOB, 0, 0, 1)
-    job.is_guest = True
+    job.is_transferred = True
     job.passes = {TaskKey(JOB, 0, 0, index): 1 for index in (0, 2)}
     # The unit has never had the task.
     task = job.tasks.pop(key)
@@ -220,7 +220,7 @@
 
 
 def make_unhealthy_for_long(state, job):
-    state.workers['w0'].unwell_since_ms = NOW_MS - 3500
+    state.workers['w0'].unhealthy_since_ms = NOW_MS - 3500
 
 
 @pytest.mark.parametrize(
@@ -258,7 +258,7 @@
     worker = state.workers[worker_id]
     for attempt in worker.serving.values():
         attempt.load = 33_000.0
-    worker.unwell_since_ms = state.now_ms - 800
+    worker.unhealthy_since_ms = state.now_ms - 800
     state.tails[JOB] = {
         TaskKey(JOB, 0, 0, index): (10.0, state.now_ms) for index in (7, 8)
     }
@@ -290,8 +290,8 @@
     add_worker(state, 'w9')
     attempts = [get_attempt(job, index) for index in range(3)]
     for attempt in attempts:
-        attempt.wanted_percent = 0
-        attempt.slowed_ms = NOW_MS - 5000
+        attempt.target_pace_percent = 0
+        attempt.slowed_since_ms = NOW_MS - 5000
     _pacing._move_slowed(attempts, Context(state))
     states = [one.state for one in attempts]
     assert states.count(AttemptState.STOPPING) == stopped
--- a/tests/tulippin/jobs/test_crash_counting.py
+++ b/tests/tulippin/jobs/test_crash_counting.py
@@ -89,7 +89,7 @@
     task.crashes[crash.worker_id] = crash
     fleet.instances[fleet.get_owner()].state.suspects.add(task.key)
     attempt.probation_ms = probation_ms
-    worker.trials[attempt.key, attempt.run] = attempt
+    worker.probation_runs[attempt.key, attempt.run] = attempt
     return task
 
 
--- a/tests/tulippin/jobs/test_foreign_rows.py
+++ b/tests/tulippin/jobs/test_foreign_rows.py
@@ -185,10 +185,10 @@
 
 
 @pytest.mark.parametrize('key', ['', '.', 'a.b', 'a/b', '/', 'a/other', 'a/'])
-@pytest.mark.parametrize('is_guest', [False, True])
-def test_row_with_an_invalid_key_is_no_job(key, is_guest):
+@pytest.mark.parametrize('is_transferred', [False, True])
+def test_row_with_an_invalid_key_is_no_job(key, is_transferred):
     record = JobRecord(QUEUE, REQUEST)
-    if is_guest:
+    if is_transferred:
         record = GuestRecord(QUEUE, REQUEST, {'0.0.0': 1})
         key = f'{key}/guest'
     state = load([make_row(key, record), make_job_row()])
@@ -210,7 +210,7 @@
     row = make_job_row(JOB, version=200)
     core.reduce(state, JobsChanged(state.now_ms, (row,)))
     assert list_started(settle(state)) == []
-    assert state.jobs[JOB].is_past_unknown
+    assert state.jobs[JOB].is_progress_unknown
 
 
 def test_job_that_arrived_unreadable_starts_once_it_is_readable():
--- a/tests/tulippin/jobs/test_odd_reports.py
+++ b/tests/tulippin/jobs/test_odd_reports.py
@@ -27,7 +27,7 @@
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._lifecycle import make_progress, open_steps
 from tulippin.jobs._memory import make_record
-from tulippin.jobs._reports import adopt_strays
+from tulippin.jobs._reports import adopt_orphaned_runs
 from tulippin.jobs._rooms import measure
 from tulippin.jobs._row_checks import find_fault, find_progress_fault
 from tulippin.jobs.layout import extend_layout, make_layout
@@ -164,7 +164,7 @@
     before = make_progress(state.jobs[JOB])
     ended = [(1, make_name(*MISSING_TASKS[case]), 1, outcome, '')]
     deliver_report(state, 'w0', read_report(ended=ended))
-    assert state.workers['w0'].ends_read == 1
+    assert state.workers['w0'].last_read_end_number == 1
     assert make_progress(state.jobs[JOB]) == before
     assert len(state.jobs[JOB].tasks) == 2 * len(STEPS) * TASK_COUNT
     check_persisted(state)
@@ -189,7 +189,7 @@
     deliver_report(state, 'w0', read_report(ended=ended))
     state.jobs[JOB] = job
 
-    adopt_strays(job, Context(state))
+    adopt_orphaned_runs(job, Context(state))
     assert len(job.tasks) == 2 * len(STEPS) * TASK_COUNT
     check_persisted(state)
 
--- a/tests/tulippin/jobs/test_scheduler_decisions.py
+++ b/tests/tulippin/jobs/test_scheduler_decisions.py
@@ -183,7 +183,7 @@
         set_sibling_tails(state, 20.0)
         _tails.note_load(attempt, 30.0, state.now_ms)
         _interference.learn(worker, state)
-    assert attempt.load_part == pytest.approx(4 / 3, abs=0.02)
+    assert attempt.sibling_load_factor == pytest.approx(4 / 3, abs=0.02)
     assert _interference.get_shown(attempt, state, 0.0) == 0
 
 
@@ -219,7 +219,7 @@
         set_sibling_tails(state, 33.0)
         pace(state, worker)
         for attempt in worker.fillers.values():
-            if attempt.wanted_percent == 0:
+            if attempt.target_pace_percent == 0:
                 age_ms = state.now_ms - began_ms
                 paused_after_ms.setdefault(attempt.key.job_id, age_ms)
         state.now_ms += every_ms
@@ -273,7 +273,7 @@
         set_sibling_tails(state, 33.0)
         pace(state, worker)
         state.now_ms += 400
-    assert filler.wanted_percent == 0
+    assert filler.target_pace_percent == 0
     assert state.now_ms - began_ms < 4000
 
 
@@ -309,7 +309,7 @@
     filler = make_attempt(worker, make_filler(), 'b')
     set_pair(state, 'web', 'batch', 0.0)
     pace_for(state, worker, 2000)
-    assert filler.wanted_percent == 0
+    assert filler.target_pace_percent == 0
 
 
 def test_pace_rises_again_with_slack():
@@ -317,10 +317,10 @@
     worker = state.workers['w0']
     make_attempt(worker, make_serving(), load=12.0)
     filler = make_attempt(worker, make_filler(), 'b')
-    filler.wanted_percent = 0
+    filler.target_pace_percent = 0
     for _ in range(3):
         pace(state, worker)
-    assert filler.wanted_percent == 100
+    assert filler.target_pace_percent == 100
 
 
 def make_job(state, job_id, arrived_ms, steps):
@@ -474,7 +474,7 @@
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_filler(), 'b')
-    attempt.wanted_percent = 100
+    attempt.target_pace_percent = 100
     attempt.pace_percent = 0
     core.reduce(
         state,
@@ -496,7 +496,7 @@
     state = make_state()
     worker = state.workers['w0']
     attempt = make_attempt(worker, make_filler(), 'b')
-    attempt.wanted_percent = 0
+    attempt.target_pace_percent = 0
     attempt.pace_percent = 0
     judge(state, worker)
     assert attempt.state is AttemptState.RUNNING
--- a/tests/tulippin/jobs/test_scheduler_handover.py
+++ b/tests/tulippin/jobs/test_scheduler_handover.py
@@ -530,7 +530,7 @@
     assert effect.writes[0].record.places == {}
     assert not _lifecycle.is_place_durable(job, key, 'w0')
     core.reduce(state, ev.ProgressCommitted(1310, effect, 50, is_fenced=False))
-    assert job.committing is None
+    assert job.pending_progress is None
     assert job.durable == effect.writes[0].record
 
 
@@ -544,7 +544,7 @@
             await trio.sleep(3)
             job = fleet.instances['i0'].state.jobs[JOB]
             assert all(task.crashes for task in job.tasks.values())
-            return [task.spares for task in job.tasks.values()]
+            return [task.standby_workers for task in job.tasks.values()]
 
     assert not any(run_virtual(run))
 
--- a/tests/tulippin/jobs/test_scheduler_waiting_review.py
+++ b/tests/tulippin/jobs/test_scheduler_waiting_review.py
@@ -344,7 +344,7 @@
             await fleet.submit('a' * 16, make_request(step), PATIENT, other)
             await trio.sleep(1)
             job = fleet.instances[owner].state.jobs['a' * 16]
-            assert -2200 <= job.arrived_ms - job.known_ms <= 0
+            assert -2200 <= job.arrived_ms - job.first_seen_ms <= 0
             assert not list(
                 _slow_start.list_waiting(fleet.instances[owner].state)
             )
@@ -418,7 +418,7 @@
         key, 1, worker.worker_id, step, 2, AttemptState.RUNNING, NOW_MS - 9000
     )
     attempt.is_slow_start = True
-    attempt.wanted_percent = attempt.pace_percent = percent
+    attempt.target_pace_percent = attempt.pace_percent = percent
     add_attempt(attempt, Task(key), worker)
     return attempt
 
@@ -462,7 +462,7 @@
         request,
         1,
         arrived_ms=NOW_MS - 15_000,
-        known_ms=NOW_MS - 15_000,
+        first_seen_ms=NOW_MS - 15_000,
     )
     state.jobs['a'] = job
     assert _ranking._estimate_lateness(job, ('a', 0, 0), state)[0] == 0
--- a/tests/tulippin/jobs/test_unknown_rooms.py
+++ b/tests/tulippin/jobs/test_unknown_rooms.py
@@ -287,7 +287,7 @@
     add_run(worker, 0, SERVES, 20.0)
     add_run(worker, 1, FILLS, USED_MILLICORES)
     assert not _feasibility.accepts_runs(worker, state)
-    assert not worker.has_room(make_step(cpu=0).size)
+    assert not worker.has_capacity(make_step(cpu=0).size)
     assert _rooms.measure(state).capacity_millicores == 0
     assert _interference.get_harm(FILLS, worker, state) is None
     assert _interference.find_worst(FILLS, worker, state) is None
--- a/tests/tulippin/jobs/test_worker_rooms.py
+++ b/tests/tulippin/jobs/test_worker_rooms.py
@@ -107,7 +107,7 @@
 
 
 def test_ignoring_stopping_runs_would_exceed_capacity(run_virtual, monkeypatch):
-    has_room = Worker.has_room
+    has_capacity = Worker.has_capacity
 
     def count_running(worker, wanted):
         stopping = sum(
@@ -116,11 +116,11 @@
             if one.state.value == 'stopping'
         )
         remaining_millicores = wanted.cpu_millicores - stopping
-        return has_room(
+        return has_capacity(
             worker, Resources(max(0, remaining_millicores), wanted.memory_mb)
         )
 
-    monkeypatch.setattr(Worker, 'has_room', count_running)
+    monkeypatch.setattr(Worker, 'has_capacity', count_running)
 
     async def play(fleet):
         fleet.platform.configure(make_config(is_enforcing=False))
@@ -176,17 +176,17 @@
     state = make_state(make_worker(0, 2000, 5500), make_worker(1, 8000, 0))
     assert _rooms.measure(state).places[0] == 8
     assert _headroom.get_unoccupied(state.workers['w0']) == 2000
-    assert not state.workers['w0'].has_room(Resources(1, 0))
-    assert state.workers['w0'].has_room(Resources(-4000, 0))
+    assert not state.workers['w0'].has_capacity(Resources(1, 0))
+    assert state.workers['w0'].has_capacity(Resources(-4000, 0))
 
 
 def test_orphaned_runs_block_a_worker_that_does_not_enforce_capacity():
     state = make_state(make_worker(0, 8000, 0))
     worker = state.workers['w0']
-    worker.entry_ms = state.now_ms
+    worker.entry_read_ms = state.now_ms
     state.configuration = _read_configuration(is_enforcing=False)
     assert _feasibility.accepts_runs(worker, state)
-    worker.strays['task', 1] = 0
+    worker.orphaned_runs['task', 1] = 0
     assert not _feasibility.accepts_runs(worker, state)
     state.configuration = _read_configuration(is_enforcing=True)
     assert _feasibility.accepts_runs(worker, state)
--- a/tests/unit_on_paper.py
+++ b/tests/unit_on_paper.py
@@ -345,7 +345,7 @@
         record = read_back(JobRecord(QUEUE, REQUESTS[kind], wall_ms))
         self.deliver_job_rows(self.put('jobs0', job_id, record))
 
-    def pass_here(self, pass_number, has_begun, has_crashed):
+    def pass_here(self, transfer_number, has_begun, has_crashed):
         """Transfer a task of a service from another unit to this one."""
         job_id = f'{len(self.rows):016x}'
         crash = CrashRecord('w0', 'a:80', 'm', 7, 10, WALL_MS, True)
@@ -353,7 +353,7 @@
             GuestRecord(
                 QUEUE,
                 REQUESTS[1],
-                {'0.0.1': pass_number},
+                {'0.0.1': transfer_number},
                 {'0.0.1': 65_536},
                 ('0.0.1',) if has_begun else (),
                 {'0.0.1': (crash,)} if has_crashed else {},
@@ -413,7 +413,7 @@
             if job is None:
                 continue
             durable = decode(row.value, ProgressRecord)
-            assert not job.is_past_unknown
+            assert not job.is_progress_unknown
             if durable.state in FINAL_STATES or job.state in FINAL_STATES:
                 continue
             assert _lifecycle.make_progress(job) == durable
