--- a/src/tulippin/jobs/_advising.py
+++ b/src/tulippin/jobs/_advising.py
@@ -59,7 +59,7 @@
     """Handle other owners' models, except for rows that raise an error."""
     if context.state.is_without_advice:
         return
-    event = _exclude_rows(event, context.state.rows_aside)
+    event = _exclude_rows(event, context.state.excluded_rows)
     try:
         handle(event, context)
     except Exception as error:
@@ -102,9 +102,9 @@
 def _reject_rows(error: Exception, names: set[str], context: Context) -> None:
     """Ignore these versions of rows from now on, and report them."""
     state = context.state
-    if len(state.rows_aside) > _MAX_REJECTED_ROWS:
-        state.rows_aside.clear()
-    state.rows_aside.update(names)
+    if len(state.excluded_rows) > _MAX_REJECTED_ROWS:
+        state.excluded_rows.clear()
+    state.excluded_rows.update(names)
     state.count('advice_dropped')
     context.emit(TellFailure('advice dropped', error, tuple(sorted(names))))
 
@@ -137,9 +137,9 @@
 ) -> None:
     """Reset the learned state, report the error, and pause learning."""
     state = context.state
-    pause_ms = max(2 * state.advice_pause_ms, _FIRST_PAUSE_MS)
-    state.advice_pause_ms = min(pause_ms, _MAX_PAUSE_MS)
-    state.advice_after_ms = state.now_ms + state.advice_pause_ms
+    pause_ms = max(2 * state.advisory_pause_ms, _FIRST_PAUSE_MS)
+    state.advisory_pause_ms = min(pause_ms, _MAX_PAUSE_MS)
+    state.advisory_paused_until_ms = state.now_ms + state.advisory_pause_ms
     state.count(kind.replace(' ', '_'))
     _memory.forget(state)
     for worker in state.workers.values():
--- a/src/tulippin/jobs/_balancing.py
+++ b/src/tulippin/jobs/_balancing.py
@@ -24,7 +24,7 @@
 import attrs
 
 from tulippin.jobs import _rooms
-from tulippin.jobs.records import LayoutRecord, UnitRoom
+from tulippin.jobs.records import LayoutRecord, UnitCapacity
 from tulippin.jobs.types import JobRequest, Step
 
 if t.TYPE_CHECKING:
@@ -292,9 +292,9 @@
     return max(0, min(1, fit_count / step.task_count))
 
 
-def _get_room(unit: UnitShell) -> UnitRoom:
+def _get_room(unit: UnitShell) -> UnitCapacity:
     """Return the published capacity of a unit, empty if it has no lease."""
-    return unit.lease.room if unit.lease else UnitRoom()
+    return unit.lease.room if unit.lease else UnitCapacity()
 
 
 def _could_run(step: Step, unit: UnitShell) -> bool:
--- a/src/tulippin/jobs/_committing.py
+++ b/src/tulippin/jobs/_committing.py
@@ -77,7 +77,9 @@
         _unseen.begin(event.account, context)
     _advising.restore(event, context)
     jobs = _lifecycle.add_rows(event.jobs, context)
-    state.unread_jobs.update(_lifecycle.list_unreadable_jobs(event.jobs, state))
+    state.unreadable_jobs.update(
+        _lifecycle.list_unreadable_jobs(event.jobs, state)
+    )
     _restore(jobs, event.progress, context)
     _unseen.record_reported_tasks(event.account, context)
     _open_loaded_jobs(jobs, event, context)
@@ -162,7 +164,7 @@
     _withhold_unreadable(added, context)
     _restore(added, event.progress, context)
     if added:
-        state.arrived_ms = state.now_ms
+        state.last_arrival_ms = state.now_ms
     for job in added:
         context.log(
             'job taken up',
@@ -191,7 +193,7 @@
     stored was not loaded.
     """
     for job in jobs:
-        if job.job_id in context.state.unread_jobs:
+        if job.job_id in context.state.unreadable_jobs:
             _lifecycle.withhold(job, context, 'its row was unreadable')
 
 
@@ -398,10 +400,10 @@
 def _remove_finished_jobs(context: Context) -> None:
     """Remove jobs that finished longer ago than the retention time."""
     state = context.state
-    if state.now_ms - state.swept_ms < _REMOVAL_INTERVAL_MS:
+    if state.now_ms - state.last_sweep_ms < _REMOVAL_INTERVAL_MS:
         return
-    state.swept_ms = state.now_ms
-    limit_ms = state.now_ms - state.config.finished_kept_ms
+    state.last_sweep_ms = state.now_ms
+    limit_ms = state.now_ms - state.config.finished_retention_ms
     old = [
         job.job_id
         for job in state.jobs.values()
--- a/src/tulippin/jobs/_crashes.py
+++ b/src/tulippin/jobs/_crashes.py
@@ -81,7 +81,7 @@
         _remove_crashes(worker.worker_id, context)
         return
     if not worker.is_reconciled:
-        state.lost_unread[worker.worker_id] = True
+        state.lost_unconfirmed_workers[worker.worker_id] = True
     _record_crashes(worker, context, is_sure=True)
     for job, task in list_suspects(state):
         record = task.crashes.get(worker.worker_id)
@@ -300,7 +300,7 @@
         return
     task.unresolved_start = None
     is_lapsed = worker is not None and not worker.is_reconciled
-    if worker_id not in state.lost_unread and not is_lapsed:
+    if worker_id not in state.lost_unconfirmed_workers and not is_lapsed:
         # The worker reported all of its runs, or an earlier owner saw it
         # leave.
         return
@@ -318,7 +318,7 @@
         run,
         _trials.EARLY_CRASH_MS,
         get_wall_ms(state),
-        state.lost_unread.get(worker_id, False),
+        state.lost_unconfirmed_workers.get(worker_id, False),
         # Only the start was recorded for the next owner.
         is_seen=True,
         is_age_known=False,
@@ -345,7 +345,7 @@
         return
     affected_ids = {
         kind[0]: None
-        for queue in (state.ready, state.ready_idle)
+        for queue in (state.ready, state.ready_opportunistic)
         for kind, tasks in queue.items()
         if kind[0] in job_ids
         and any(
@@ -361,7 +361,7 @@
 
 def _is_any_worker_lost(state: SchedulerState) -> bool:
     """Whether a worker that might run any task has crashed or lapsed."""
-    for worker_id in state.lost_unread:
+    for worker_id in state.lost_unconfirmed_workers:
         worker = state.workers.get(worker_id)
         if worker is None or worker.may_run_any_task:
             return True
@@ -477,7 +477,7 @@
     state = context.state
     due = []
     waiting = []
-    for attempt in state.unsent:
+    for attempt in state.unsent_starts:
         if attempt.state is not AttemptState.STARTING:
             continue
         worker = state.workers.get(attempt.worker_id)
@@ -487,7 +487,7 @@
         # An order to a worker that has gone silent would count as a crash.
         is_due = not worker.failed_count and _may_send(attempt, worker, state)
         (due if is_due else waiting).append(attempt)
-    state.unsent = waiting
+    state.unsent_starts = waiting
     for attempt in due:
         attempt.is_ordered = True
         attempt.sent_ms = state.now_ms
--- a/src/tulippin/jobs/_demand.py
+++ b/src/tulippin/jobs/_demand.py
@@ -103,7 +103,7 @@
     """Return the kinds of tasks seen in a queue by any unit, or None."""
     reported_kinds = [
         room.queue_kinds[queue.name]
-        for room in state.rooms.values()
+        for room in state.unit_capacities.values()
         if queue.name in room.queue_kinds
     ]
     own = state.queue_kinds.get(queue.name)
@@ -166,7 +166,7 @@
     """
     records = list_records(state)
     capacity = capacity_millicores
-    for room in state.rooms.values():
+    for room in state.unit_capacities.values():
         records.extend(room.demands)
         capacity += room.service_millicores.get(service, 0)
     asked = [
@@ -226,7 +226,7 @@
 
 def _get_covered_share(state: SchedulerState) -> float:
     """Return the share of the time constant that the sums cover."""
-    if state.is_demand_told:
+    if state.is_demand_inherited:
         return 1.0
     watched_ms = state.now_ms - state.ownership.taken_ms
     return max(_MIN_COVERED_SHARE, 1 - math.exp(-watched_ms / _DECAY_MS))
@@ -242,7 +242,7 @@
     if lease is None or state.is_without_advice:
         return
     room = lease.room
-    state.is_demand_told = bool(room.demands)
+    state.is_demand_inherited = bool(room.demands)
     for name, kinds in room.queue_kinds.items():
         known = state.queue_kinds.get(name, QueueKinds())
         state.queue_kinds[name] = known.join(kinds)
--- a/src/tulippin/jobs/_draining.py
+++ b/src/tulippin/jobs/_draining.py
@@ -43,10 +43,10 @@
 def tick(context: Context) -> None:
     """Stop long-running tasks on draining workers, a few at a time."""
     state = context.state
-    is_due = state.now_ms - state.drained_ms >= _DRAIN_INTERVAL_MS
+    is_due = state.now_ms - state.drain_checked_ms >= _DRAIN_INTERVAL_MS
     if not (context.may_order and is_due):
         return
-    state.drained_ms = state.now_ms
+    state.drain_checked_ms = state.now_ms
     leaving = [
         worker
         for worker in state.workers.values()
@@ -83,9 +83,12 @@
 ) -> None:
     """Log why tasks remain on draining workers, once a second."""
     state = context.state
-    if not obstacles or state.now_ms - state.kept_told_ms < _LOG_INTERVAL_MS:
+    if (
+        not obstacles
+        or state.now_ms - state.obstacles_logged_ms < _LOG_INTERVAL_MS
+    ):
         return
-    state.kept_told_ms = state.now_ms
+    state.obstacles_logged_ms = state.now_ms
     first = leaving[0]
     context.log(
         'tasks stay on leaving workers',
--- a/src/tulippin/jobs/_evening.py
+++ b/src/tulippin/jobs/_evening.py
@@ -21,7 +21,7 @@
 
 from tulippin.jobs import _rooms, _unseen
 from tulippin.jobs._ready import StepKey
-from tulippin.jobs.records import UnitRoom
+from tulippin.jobs.records import UnitCapacity
 from tulippin.jobs.state import Job, SchedulerState
 from tulippin.jobs.types import Step
 
@@ -138,7 +138,7 @@
 
     Tasks that were transferred before stay, so that they don't move around.
     """
-    if not step.long_running or step.gang or not state.rooms:
+    if not step.long_running or step.gang or not state.unit_capacities:
         return False
     if _unseen.holds_back(job, step):
         return False
@@ -148,20 +148,22 @@
 def _compute_balance(state: SchedulerState) -> _Balance:
     """Compare the load of this unit with the mean of all units."""
     own_load = _rooms.measure_load(state)
-    rooms = [own_load, *state.rooms.values()]
-    capacity = sum(room.capacity_millicores for room in rooms)
-    mean = sum(room.reserved_millicores for room in rooms) / max(1, capacity)
+    capacities = [own_load, *state.unit_capacities.values()]
+    capacity = sum(room.capacity_millicores for room in capacities)
+    mean = sum(room.reserved_millicores for room in capacities) / max(
+        1, capacity
+    )
     return _Balance(
         _get_excess(own_load, mean + _LOAD_MARGIN),
         {
             number: -_get_excess(room, mean)
-            for number, room in state.rooms.items()
+            for number, room in state.unit_capacities.items()
             if _get_excess(room, mean) < 0
         },
     )
 
 
-def _get_excess(room: UnitRoom, load: float) -> float:
+def _get_excess(room: UnitCapacity, load: float) -> float:
     """Return the millicores reserved above a load; negative if below."""
     return room.reserved_millicores - load * room.capacity_millicores
 
@@ -182,10 +184,12 @@
         number
         for number, deficit in deficits.items()
         if deficit >= _MIN_STEP_PART * size
-        and _rooms.has_place(state.rooms[number], step, is_new=True)
+        and _rooms.has_place(state.unit_capacities[number], step, is_new=True)
     ]
     serving_units = [
-        number for number in capable if step.image in state.rooms[number].images
+        number
+        for number in capable
+        if step.image in state.unit_capacities[number].images
     ]
     capable = serving_units or capable
     if not capable:
--- a/src/tulippin/jobs/_giving_up.py
+++ b/src/tulippin/jobs/_giving_up.py
@@ -27,10 +27,10 @@
 def tick(context: Context) -> None:
     """Confirm suspected crashes, and abandon jobs with too many crashes."""
     state = context.state
-    is_due = state.now_ms - state.crashes_looked_ms >= _CHECK_INTERVAL_MS
+    is_due = state.now_ms - state.crashes_checked_ms >= _CHECK_INTERVAL_MS
     if not (is_due and state.suspects and context.may_order):
         return
-    state.crashes_looked_ms = state.now_ms
+    state.crashes_checked_ms = state.now_ms
     for job, task in _crashes.list_suspects(state):
         _confirm_crashes(job, task, context)
         confirmed = [crash for crash in task.list_crashes() if crash.is_sure]
--- a/src/tulippin/jobs/_headroom.py
+++ b/src/tulippin/jobs/_headroom.py
@@ -148,7 +148,7 @@
     """Whether no other unit has workers with the label a step requires."""
     label = step.required_label
     return bool(label) and not any(
-        label in room.labels for room in state.rooms.values()
+        label in room.labels for room in state.unit_capacities.values()
     )
 
 
@@ -157,7 +157,7 @@
     workers = _feasibility.list_available(state)
     capacity = sum(one.entry.capacity.cpu_millicores for one in workers)
     reserved = sum(one.reserved.cpu_millicores for one in workers)
-    for room in state.rooms.values():
+    for room in state.unit_capacities.values():
         capacity += room.capacity_millicores
         reserved += room.reserved_millicores
     return reserved < _UNCROWDED_SHARE * capacity
@@ -171,11 +171,11 @@
     None if no headroom is kept from long-running tasks of the priority. The
     result is cached for 0.1 s.
     """
-    known = state.largest_new.get((service, priority))
+    known = state.cached_largest_new.get((service, priority))
     if known is not None and state.now_ms - known[0] < _LARGEST_CACHE_MS:
         return known[1]
     largest = _find_largest(service, priority, state)
-    state.largest_new[service, priority] = state.now_ms, largest
+    state.cached_largest_new[service, priority] = state.now_ms, largest
     return largest
 
 
@@ -311,7 +311,7 @@
     """Return the share of processors to keep for demand not yet seen."""
     if not _demand.may_show(service, priority, state):
         return 0.0
-    since_ms = max(state.roomy_ms.get(service, 0), state.ownership.taken_ms)
+    since_ms = max(state.uncrowded_ms.get(service, 0), state.ownership.taken_ms)
     observed_ms = state.now_ms - since_ms
     return _UNKNOWN_DEMAND_SHARE * math.exp(-observed_ms / _UNKNOWN_DECAY_MS)
 
@@ -339,15 +339,15 @@
 def tick(context: Context) -> None:
     """Record when each service last had less than half of it reserved."""
     state = context.state
-    if state.now_ms - state.roomy_looked_ms < _CHECK_INTERVAL_MS:
+    if state.now_ms - state.uncrowded_checked_ms < _CHECK_INTERVAL_MS:
         return
-    state.roomy_looked_ms = state.now_ms
+    state.uncrowded_checked_ms = state.now_ms
     workers = _feasibility.list_available(state)
     services = {one.entry.service for one in workers}
     for service in services:
         own_workers = [one for one in workers if one.entry.service == service]
         if _is_uncrowded(own_workers):
-            state.roomy_ms[service] = state.now_ms
+            state.uncrowded_ms[service] = state.now_ms
 
 
 def get_unoccupied(worker: Worker) -> int:
--- a/src/tulippin/jobs/_interference.py
+++ b/src/tulippin/jobs/_interference.py
@@ -19,7 +19,7 @@
 from tulippin.jobs.state import (
     Attempt,
     AttemptState,
-    Lesson,
+    Observation,
     SchedulerState,
     Worker,
 )
@@ -308,8 +308,11 @@
         or attempt.tail_ms > _GROWING_QUEUE_RATIO * alone_ms,
     )
     slowdown = round(slowdown, _DIGITS)
-    if state.lesson is None or slowdown > state.lesson.slowdown:
-        state.lesson = Lesson(
+    if (
+        state.largest_observation is None
+        or slowdown > state.largest_observation.slowdown
+    ):
+        state.largest_observation = Observation(
             attempt.worker_id,
             image,
             attempt.tail_ms,
--- a/src/tulippin/jobs/_lifecycle.py
+++ b/src/tulippin/jobs/_lifecycle.py
@@ -232,7 +232,9 @@
     if not record.accepted_ms:
         return state.now_ms
     age_ms = state.now_ms + state.wall_offset_ms - record.accepted_ms
-    return state.now_ms - min(max(0, age_ms), state.config.finished_kept_ms)
+    return state.now_ms - min(
+        max(0, age_ms), state.config.finished_retention_ms
+    )
 
 
 def _make_job(row: StoredRow, context: Context) -> Job | None:
--- a/src/tulippin/jobs/_memory.py
+++ b/src/tulippin/jobs/_memory.py
@@ -155,12 +155,12 @@
     state = context.state
     if state.ownership.phase is not Phase.ACTIVE or state.is_model_committing:
         return
-    if state.now_ms - state.model_kept_ms < _SAVE_INTERVAL_MS:
+    if state.now_ms - state.model_persisted_ms < _SAVE_INTERVAL_MS:
         return
-    state.model_kept_ms = state.now_ms
+    state.model_persisted_ms = state.now_ms
     samples = state.model.count_samples()
-    if samples == state.samples_kept:
+    if samples == state.persisted_sample_count:
         return
-    state.samples_kept = samples
+    state.persisted_sample_count = samples
     state.is_model_committing = True
     context.emit(KeepModel(make_record(state), state.ownership.epoch_version))
--- a/src/tulippin/jobs/_ownership.py
+++ b/src/tulippin/jobs/_ownership.py
@@ -28,7 +28,7 @@
     StopRequested,
     UnitTaken,
 )
-from tulippin.jobs.records import EpochRecord, LeaseRecord, UnitRoom
+from tulippin.jobs.records import EpochRecord, LeaseRecord, UnitCapacity
 from tulippin.jobs.state import Ownership, Phase, SchedulerState
 from tulippin.jobs.swings import SwingModel
 from tulippin.types import Resources
@@ -150,7 +150,7 @@
     else:
         why = 'lapsed'
         wait_ms = state.config.lease_ms + _get_delay_ms(state)
-    if silent_ms < wait_ms + ownership.wait_extra_ms:
+    if silent_ms < wait_ms + ownership.takeover_delay_ms:
         return
     _begin_takeover(context, why, silent_ms)
 
@@ -176,7 +176,7 @@
 def _get_units_per_core(state: SchedulerState) -> float:
     """Return the units per core of the instance, including this unit."""
     share = max(state.config.processor_share, _MIN_PROCESSOR_SHARE)
-    return (1 + state.other_units) / share
+    return (1 + state.other_unit_count) / share
 
 
 def _begin_takeover(context: Context, why: str, silent_ms: int) -> None:
@@ -184,7 +184,7 @@
     ownership = state.ownership
     last_epoch = ownership.epoch.epoch if ownership.epoch else 0
     ownership.phase = Phase.TAKING
-    ownership.tried_version = ownership.lease_version
+    ownership.attempted_lease_version = ownership.lease_version
     context.log('take unit', why=why, silent_ms=silent_ms, epoch=last_epoch + 1)
     context.emit(
         TakeUnit(
@@ -202,7 +202,7 @@
     ownership = state.ownership
     if not event.version:
         ownership.phase = Phase.LEFT if state.is_stopping else Phase.STANDING_BY
-        if ownership.lease_version == ownership.tried_version:
+        if ownership.lease_version == ownership.attempted_lease_version:
             # Another instance was first: its rows must be read before the
             # next attempt. If the outcome is unknown, the rows may never
             # change, so the wait starts again with the known ones; a unit
@@ -222,7 +222,7 @@
     ownership.is_renewing = False
     context.log('unit taken', epoch=event.epoch, version=event.version)
     if state.is_stopping:
-        ownership.release_why = _STOP_REASON
+        ownership.release_reason = _STOP_REASON
         _release(context)
         return
     context.emit(LoadUnit())
@@ -245,7 +245,10 @@
         ownership.lease_version = event.version
         # A renewal that was sent before the process was suspended says
         # nothing about the time since.
-        if ownership.must_confirm and event.sent_ms >= ownership.paused_ms:
+        if (
+            ownership.must_confirm
+            and event.sent_ms >= ownership.confirm_after_ms
+        ):
             context.log('ownership confirmed', epoch=context.fencing_token)
             ownership.must_confirm = False
         if _is_release_due(context.state) and not ownership.must_confirm:
@@ -264,7 +267,7 @@
     clear_unit(state)
     state.ownership = Ownership(changed_ms=state.now_ms)
     # Leaves the unit to other instances first.
-    state.ownership.wait_extra_ms = state.config.lease_ms
+    state.ownership.takeover_delay_ms = state.config.lease_ms
     if state.is_stopping:
         state.ownership.phase = Phase.LEFT
     context.emit(ForgetUnit())
@@ -276,11 +279,11 @@
     state.jobs.clear()
     state.workers.clear()
     _clear_ready(state)
-    state.unread_jobs.clear()
-    state.unsettled_until_ms = 0
-    state.is_settled = False
-    state.advice_after_ms = 0
-    state.advice_pause_ms = 0
+    state.unreadable_jobs.clear()
+    state.unconfirmed_until_ms = 0
+    state.are_earlier_runs_confirmed = False
+    state.advisory_paused_until_ms = 0
+    state.advisory_pause_ms = 0
     state.advice_asked.clear()
     _clear_observed(state)
     state.dirty_jobs.clear()
@@ -292,14 +295,14 @@
     state.swings = SwingModel()
     state.short_demands.clear()
     state.queue_kinds.clear()
-    state.is_demand_told = False
-    state.roomy_ms.clear()
-    state.largest_new.clear()
+    state.is_demand_inherited = False
+    state.uncrowded_ms.clear()
+    state.cached_largest_new.clear()
 
 
 def _clear_ready(state: SchedulerState) -> None:
     state.ready.clear()
-    state.ready_idle.clear()
+    state.ready_opportunistic.clear()
     state.scheduled.clear()
 
 
@@ -313,8 +316,8 @@
 
 def _clear_crashes(state: SchedulerState) -> None:
     state.suspects.clear()
-    state.unsent.clear()
-    state.lost_unread.clear()
+    state.unsent_starts.clear()
+    state.lost_unconfirmed_workers.clear()
 
 
 def note_pause(context: Context, gap_ms: int) -> None:
@@ -330,7 +333,7 @@
     ownership = context.state.ownership
     if ownership.phase in _OWNING_PHASES and gap_ms > _MAX_EVENT_GAP_MS:
         ownership.must_confirm = True
-        ownership.paused_ms = context.state.now_ms + gap_ms
+        ownership.confirm_after_ms = context.state.now_ms + gap_ms
         context.log(
             'process suspended', gap_ms=gap_ms, epoch=context.fencing_token
         )
@@ -375,8 +378,8 @@
         _take_over_if_free(context)
         return
     if _should_shed_unit(state):
-        state.spared_count += 1
-        ownership.release_why = 'too many units here'
+        state.overload_release_count += 1
+        ownership.release_reason = 'too many units here'
     if ownership.phase not in _OWNING_PHASES or ownership.is_renewing:
         return
     renew_at_ms = ownership.renewed_ms + state.config.renew_every_ms
@@ -396,9 +399,9 @@
 def _should_shed_unit(state: SchedulerState) -> bool:
     """Whether an overloaded instance should release the unit to another."""
     ownership = state.ownership
-    if ownership.phase is not Phase.ACTIVE or not state.other_units:
+    if ownership.phase is not Phase.ACTIVE or not state.other_unit_count:
         return False
-    if ownership.release_why:
+    if ownership.release_reason:
         return False
     if (
         _get_units_per_core(state) <= _MAX_UNITS_PER_CORE
@@ -410,7 +413,7 @@
     delay_ms = _SHED_INTERVAL_MS * (
         1 + state.config.unit.number % _SHED_TURN_COUNT
     )
-    delay_ms <<= min(state.spared_count, _MAX_BACKOFF_DOUBLINGS)
+    delay_ms <<= min(state.overload_release_count, _MAX_BACKOFF_DOUBLINGS)
     return state.now_ms - ownership.taken_ms > delay_ms
 
 
@@ -423,7 +426,7 @@
     """
     ownership = state.ownership
     is_wanted = (
-        bool(ownership.release_why) and ownership.phase in _OWNING_PHASES
+        bool(ownership.release_reason) and ownership.phase in _OWNING_PHASES
     )
     return is_wanted and state.now_ms >= ownership.release_after_ms
 
@@ -435,12 +438,12 @@
     # Without restored models there is nothing newer than the stored ones.
     has_models = was_loaded and not state.is_without_advice
     unused_ms = state.now_ms - ownership.taken_ms
-    ownership.released_from = ownership.phase
+    ownership.phase_before_release = ownership.phase
     ownership.phase = Phase.RELEASING
     context.log(
         'release unit',
         epoch=context.fencing_token,
-        why=ownership.release_why,
+        why=ownership.release_reason,
     )
     context.emit(
         ReleaseLease(
@@ -460,7 +463,7 @@
     """Whether the unit's durable state is loaded and its feed is followed."""
     ownership = state.ownership
     if ownership.phase is Phase.RELEASING:
-        return ownership.released_from is Phase.ACTIVE
+        return ownership.phase_before_release is Phase.ACTIVE
     return ownership.phase is Phase.ACTIVE
 
 
@@ -482,7 +485,7 @@
 
 def _get_last_published(
     ownership: Ownership,
-) -> tuple[dict[str, int], UnitRoom, bool]:
+) -> tuple[dict[str, int], UnitCapacity, bool]:
     """Return the lease fields to publish for a unit that isn't loaded yet.
 
     The last owner's count of waiting jobs is the most recent one. Its
@@ -490,7 +493,7 @@
     before the unit is loaded.
     """
     if ownership.lease is None:
-        return {}, UnitRoom(), True
+        return {}, UnitCapacity(), True
     room = attrs.evolve(
         ownership.lease.room,
         largest_free=Resources(),
@@ -516,7 +519,7 @@
     ownership = state.ownership
     state.is_stopping = True
     if ownership.phase in _OWNING_PHASES:
-        ownership.release_why = _STOP_REASON
+        ownership.release_reason = _STOP_REASON
         if not ownership.is_renewing:
             _renew(context)
     elif ownership.phase not in _TRANSITION_PHASES:
@@ -543,8 +546,8 @@
     """
     state = context.state
     ownership = state.ownership
-    ownership.phase = ownership.released_from
-    ownership.release_why = _STOP_REASON if state.is_stopping else ''
+    ownership.phase = ownership.phase_before_release
+    ownership.release_reason = _STOP_REASON if state.is_stopping else ''
     if event.lease_version:
         # A renewal of this owner was applied whose answer is lost or late.
         ownership.lease_version = event.lease_version
@@ -552,7 +555,7 @@
         ownership.release_after_ms = state.now_ms + _RELEASE_RETRY_MS
     if event.is_unsure:
         ownership.must_confirm = True
-        ownership.paused_ms = state.now_ms
+        ownership.confirm_after_ms = state.now_ms
     context.log(
         'unit kept',
         epoch=context.fencing_token,
--- a/src/tulippin/jobs/_passing.py
+++ b/src/tulippin/jobs/_passing.py
@@ -23,7 +23,7 @@
 from tulippin.jobs._dispatch import Context, handle
 from tulippin.jobs.effects import PassTasks
 from tulippin.jobs.events import RoomsSeen
-from tulippin.jobs.records import CrashRecord, GuestRecord, UnitRoom
+from tulippin.jobs.records import CrashRecord, GuestRecord, UnitCapacity
 from tulippin.jobs.state import (
     RUNS_PER_EPOCH,
     Job,
@@ -51,16 +51,18 @@
 @handle.register
 def _update_rooms(event: RoomsSeen, context: Context) -> None:
     """Replace the known capacities of the other units."""
-    context.state.rooms = dict(event.rooms)
+    context.state.unit_capacities = dict(event.unit_capacities)
 
 
 def tick(context: Context) -> None:
     """Transfer long-running tasks that wait while other units have capacity."""
     state = context.state
-    is_due = state.now_ms - state.passing_ms >= _TRANSFER_INTERVAL_MS
-    if not (context.may_order and is_due and state.rooms and state.ready):
+    is_due = state.now_ms - state.transfers_checked_ms >= _TRANSFER_INTERVAL_MS
+    if not (
+        context.may_order and is_due and state.unit_capacities and state.ready
+    ):
         return
-    state.passing_ms = state.now_ms
+    state.transfers_checked_ms = state.now_ms
     _rebalance(context)
     budget = _MAX_TRANSFERS_PER_TICK
     refused_groups: set[tuple[_ready.StepKey, bool, bool]] = set()
@@ -129,9 +131,11 @@
     _transfer(job, step, task, unit, context)
     if is_late:
         # Counts the capacity as used until the next row of the unit.
-        room = state.rooms[unit]
+        room = state.unit_capacities[unit]
         largest_free = room.largest_free.subtract(step.reserved)
-        state.rooms[unit] = attrs.evolve(room, largest_free=largest_free)
+        state.unit_capacities[unit] = attrs.evolve(
+            room, largest_free=largest_free
+        )
     return True
 
 
@@ -158,9 +162,11 @@
         # From here on the other unit reports whether the job has begun.
         _lifecycle.mark_begun(job, state)
     _lifecycle.mark_dirty(job, state)
-    room = state.rooms[unit]
+    room = state.unit_capacities[unit]
     reserved = room.reserved_millicores + step.size.cpu_millicores
-    state.rooms[unit] = attrs.evolve(room, reserved_millicores=reserved)
+    state.unit_capacities[unit] = attrs.evolve(
+        room, reserved_millicores=reserved
+    )
     state.count('tasks_passed')
     context.log(
         'pass task',
@@ -216,19 +222,19 @@
     """
     fitting = [
         (_get_load(room), number)
-        for number, room in state.rooms.items()
+        for number, room in state.unit_capacities.items()
         if _rooms.has_place(room, step, is_new=is_new)
         and (is_late or _accepts_transfers(room))
     ]
     return min(fitting)[1] if fitting else None
 
 
-def _accepts_transfers(room: UnitRoom) -> bool:
+def _accepts_transfers(room: UnitCapacity) -> bool:
     """Whether the load of a unit is low enough for transfers."""
     return _get_load(room) < _MAX_TARGET_LOAD
 
 
-def _get_load(room: UnitRoom) -> float:
+def _get_load(room: UnitCapacity) -> float:
     """Return the reserved share of a unit's processors."""
     return room.reserved_millicores / max(1, room.capacity_millicores)
 
--- a/src/tulippin/jobs/_placing.py
+++ b/src/tulippin/jobs/_placing.py
@@ -84,10 +84,12 @@
         state.is_placing_due = False
         state.placed_ms = state.now_ms
         _PlacementPass(context, state.ready).run()
-    is_due = state.now_ms - state.idle_placed_ms >= _IDLE_PASS_INTERVAL_MS
-    if is_tick and is_due and state.ready_idle:
-        state.idle_placed_ms = state.now_ms
-        _PlacementPass(context, state.ready_idle).run()
+    is_due = (
+        state.now_ms - state.opportunistic_placed_ms >= _IDLE_PASS_INTERVAL_MS
+    )
+    if is_tick and is_due and state.ready_opportunistic:
+        state.opportunistic_placed_ms = state.now_ms
+        _PlacementPass(context, state.ready_opportunistic).run()
 
 
 @attrs.define
@@ -120,7 +122,7 @@
         if self.queue is state.ready:
             self._place_overdue()
         self._place_ranked()
-        if self.queue is state.ready_idle:
+        if self.queue is state.ready_opportunistic:
             self._place_slow_starts()
 
     def _place_ranked(self) -> None:
@@ -136,9 +138,12 @@
     def _place_slow_starts(self) -> None:
         """Start a run at a low pace for jobs that have had none for long."""
         state = self.context.state
-        if state.now_ms - state.slow_placed_ms < _SLOW_START_INTERVAL_MS:
+        if (
+            state.now_ms - state.slow_starts_checked_ms
+            < _SLOW_START_INTERVAL_MS
+        ):
             return
-        state.slow_placed_ms = state.now_ms
+        state.slow_starts_checked_ms = state.now_ms
         waiting = _slow_start.list_waiting(state)
         for job, task in _slow_start.take_turn(waiting, state):
             step = job.request.steps[task.key.step]
@@ -156,7 +161,7 @@
         always waiting they take all capacity that becomes free.
         """
         state = self.context.state
-        if state.now_ms - state.overdue_ms < _OVERDUE_INTERVAL_MS:
+        if state.now_ms - state.overdue_started_ms < _OVERDUE_INTERVAL_MS:
             return
         tried_steps: set[_ready.StepKey] = set()
         for job, task in _ready.list_overdue(state):
@@ -165,7 +170,7 @@
             step = job.request.steps[task.key.step]
             is_withheld = _unseen.holds_back(job, step)
             if not is_withheld and self._start_overdue(job, task, tried_steps):
-                state.overdue_ms = state.now_ms
+                state.overdue_started_ms = state.now_ms
                 return
 
     def _start_overdue(
--- a/src/tulippin/jobs/_ready.py
+++ b/src/tulippin/jobs/_ready.py
@@ -23,7 +23,7 @@
     step: Step, state: SchedulerState
 ) -> dict[StepKey, dict[TaskKey, Task]]:
     """Return the queue of opportunistic steps, or that of all others."""
-    return state.ready_idle if step.opportunistic else state.ready
+    return state.ready_opportunistic if step.opportunistic else state.ready
 
 
 def add(task: Task, step: Step, state: SchedulerState) -> None:
--- a/src/tulippin/jobs/_refusals.py
+++ b/src/tulippin/jobs/_refusals.py
@@ -41,25 +41,27 @@
 def tell(context: Context) -> None:
     """Write the log lines, once a second while any task waits."""
     state = context.state
-    is_waiting = bool(state.ready_idle or state.ready or state.unsent)
+    is_waiting = bool(
+        state.ready_opportunistic or state.ready or state.unsent_starts
+    )
     if not (context.may_order and is_waiting):
         return
-    if state.now_ms - state.refusals_told_ms < _LOG_INTERVAL_MS:
+    if state.now_ms - state.waits_logged_ms < _LOG_INTERVAL_MS:
         return
-    state.refusals_told_ms = state.now_ms
+    state.waits_logged_ms = state.now_ms
     _log_observation(context)
     _log_unsent(context)
     _log_long_running(context)
     _log_reserving(context)
     _log_division(context)
-    if state.ready_idle:
+    if state.ready_opportunistic:
         _log_opportunistic(context)
 
 
 def _log_observation(context: Context) -> None:
     """Log the observation with the largest slowdown since the last line."""
-    observation = context.state.lesson
-    context.state.lesson = None
+    observation = context.state.largest_observation
+    context.state.largest_observation = None
     if observation is not None and observation.slowdown >= _MIN_LOGGED_SLOWDOWN:
         context.log('slowdown learned', **attrs.asdict(observation))
 
@@ -68,7 +70,7 @@
     """Log orders that have waited for a second until they are durable."""
     state = context.state
     limit_ms = state.now_ms - _LOG_INTERVAL_MS
-    waiting = [one for one in state.unsent if one.sent_ms <= limit_ms]
+    waiting = [one for one in state.unsent_starts if one.sent_ms <= limit_ms]
     if not waiting:
         return
     oldest = min(waiting, key=operator.attrgetter('sent_ms'))
@@ -145,7 +147,7 @@
     """Return how many other units report a worker that fits a task."""
     return sum(
         _rooms.has_place(room, step, is_new=False)
-        for room in state.rooms.values()
+        for room in state.unit_capacities.values()
     )
 
 
@@ -181,7 +183,7 @@
     state = context.state
     waiting: dict[str, int] = {}
     smallest: dict[str, tuple[Job, Step, Task]] = {}
-    for kind, tasks in state.ready_idle.items():
+    for kind, tasks in state.ready_opportunistic.items():
         job = state.jobs[kind[0]]
         step = job.request.steps[kind[2]]
         waiting[step.image] = waiting.get(step.image, 0) + len(tasks)
@@ -233,7 +235,7 @@
 def _summarize_idle_jobs(state: SchedulerState) -> dict[str, t.Any]:
     """Return log fields on jobs that wait without any run."""
     idle_ms: dict[str, int] = {}
-    for kind, tasks in state.ready_idle.items():
+    for kind, tasks in state.ready_opportunistic.items():
         job = state.jobs[kind[0]]
         task = next(iter(tasks.values()))
         since_ms = _ready.get_idle_ms(job, task, state)
--- a/src/tulippin/jobs/_reports.py
+++ b/src/tulippin/jobs/_reports.py
@@ -68,7 +68,7 @@
     If this instance was suspended since the call was sent, the answer may be
     as old as the call.
     """
-    if event.sent_ms < context.state.ownership.paused_ms:
+    if event.sent_ms < context.state.ownership.confirm_after_ms:
         return event.sent_ms
     return context.state.now_ms
 
--- a/src/tulippin/jobs/_rooms.py
+++ b/src/tulippin/jobs/_rooms.py
@@ -11,19 +11,19 @@
 
 from tulippin.jobs import _demand, _feasibility, _headroom
 from tulippin.jobs._ready import StepKey
-from tulippin.jobs.records import PLACE_SIZES, UnitRoom
+from tulippin.jobs.records import PLACE_SIZES, UnitCapacity
 from tulippin.jobs.state import SchedulerState, Task, Worker
 from tulippin.jobs.types import Step, TaskKey
 from tulippin.types import Resources
 
 
-def measure(state: SchedulerState) -> UnitRoom:
+def measure(state: SchedulerState) -> UnitCapacity:
     """Return the capacity, reservations and waiting demand of a unit."""
     available = _feasibility.list_available(state)
     waiting = sum(_sum_waiting(state.ready, state).values())
     waiting_short = _sum_waiting_short(state)
-    waiting_opportunistic = _sum_waiting(state.ready_idle, state)
-    return UnitRoom(
+    waiting_opportunistic = _sum_waiting(state.ready_opportunistic, state)
+    return UnitCapacity(
         _sum_capacity(available),
         _sum_reserved(available) + waiting,
         sum(map(_sum_opportunistic, available))
@@ -45,11 +45,11 @@
     )
 
 
-def measure_load(state: SchedulerState) -> UnitRoom:
+def measure_load(state: SchedulerState) -> UnitCapacity:
     """Return only the capacity of a unit, and what is reserved or waits."""
     available = _feasibility.list_available(state)
     waiting = sum(_sum_waiting(state.ready, state).values())
-    return UnitRoom(
+    return UnitCapacity(
         _sum_capacity(available), _sum_reserved(available) + waiting
     )
 
@@ -75,7 +75,7 @@
 
 
 def count_fitting(
-    room: UnitRoom, size_millicores: int, *, is_short: bool = False
+    room: UnitCapacity, size_millicores: int, *, is_short: bool = False
 ) -> int:
     """Return a lower bound of how many tasks of a size fit in a unit.
 
@@ -91,7 +91,7 @@
     return 0
 
 
-def has_place(room: UnitRoom, step: Step, *, is_new: bool) -> bool:
+def has_place(room: UnitCapacity, step: Step, *, is_new: bool) -> bool:
     """Whether the largest free capacity of a unit fits a step's task.
 
     A new long-running task also has to leave the unit its headroom; else it
--- a/src/tulippin/jobs/_row_checks.py
+++ b/src/tulippin/jobs/_row_checks.py
@@ -24,7 +24,7 @@
     LeaseRecord,
     ModelRecord,
     ProgressRecord,
-    UnitRoom,
+    UnitCapacity,
     WorkerAccount,
 )
 from tulippin.jobs.types import (
@@ -241,7 +241,7 @@
     return _find_capacity_fault(record.room)
 
 
-def _find_capacity_fault(room: UnitRoom) -> str:
+def _find_capacity_fault(room: UnitCapacity) -> str:
     """Return what is invalid in a unit's reported capacity.
 
     Shares of it are compared with those of other units: a negative one would
@@ -268,7 +268,7 @@
     return ''
 
 
-def _iter_demand_figures(room: UnitRoom) -> t.Iterator[float]:
+def _iter_demand_figures(room: UnitCapacity) -> t.Iterator[float]:
     for one in room.demands:
         yield from (one.mean_millicores, one.variance, one.count)
         yield from (one.squares, one.cubes, one.memory)
--- a/src/tulippin/jobs/_slow_start.py
+++ b/src/tulippin/jobs/_slow_start.py
@@ -85,7 +85,7 @@
     """
     wait_ms = _IDLE_WAIT_MS if _has_no_arrivals(state) else _WAIT_MS
     found: list[tuple[int, Job, Task]] = []
-    for kind, tasks in state.ready_idle.items():
+    for kind, tasks in state.ready_opportunistic.items():
         job = state.jobs[kind[0]]
         task = _find_startable(job, tasks.values(), state)
         # Members of a gang run only together, and at full pace.
@@ -101,7 +101,7 @@
 
 def _has_no_arrivals(state: SchedulerState) -> bool:
     """Whether no job has arrived for a while."""
-    return state.now_ms - state.arrived_ms >= _ARRIVAL_GAP_MS
+    return state.now_ms - state.last_arrival_ms >= _ARRIVAL_GAP_MS
 
 
 def take_turn(
@@ -116,8 +116,8 @@
     others = waiting[_FIRST_TASK_COUNT:]
     if not others:
         return first
-    offset = state.slow_turn % len(others)
-    state.slow_turn = offset + _ROTATING_TASK_COUNT
+    offset = state.next_slow_start % len(others)
+    state.next_slow_start = offset + _ROTATING_TASK_COUNT
     return first + (others[offset:] + others[:offset])[:_ROTATING_TASK_COUNT]
 
 
--- a/src/tulippin/jobs/_spares.py
+++ b/src/tulippin/jobs/_spares.py
@@ -27,10 +27,10 @@
 def tick(context: Context) -> None:
     """Assign standby workers to tasks that need them, and clear others."""
     state = context.state
-    is_due = state.now_ms - state.spares_looked_ms >= _CHECK_INTERVAL_MS
+    is_due = state.now_ms - state.standbys_checked_ms >= _CHECK_INTERVAL_MS
     if not (context.may_order and is_due):
         return
-    state.spares_looked_ms = state.now_ms
+    state.standbys_checked_ms = state.now_ms
     unprepared: list[_TaskOfStep] = []
     for worker in state.workers.values():
         tasks = _list_long_running(worker, context)
--- a/src/tulippin/jobs/_starting.py
+++ b/src/tulippin/jobs/_starting.py
@@ -70,7 +70,7 @@
     if attempt.is_ordered:
         _send_order(attempt, job, context)
     else:
-        state.unsent.append(attempt)
+        state.unsent_starts.append(attempt)
 
 
 def send_durable(context: Context) -> None:
--- a/src/tulippin/jobs/_unit_watch.py
+++ b/src/tulippin/jobs/_unit_watch.py
@@ -96,14 +96,14 @@
         for unit in units.values():
             if not unit.is_owner or len(units) < 2:
                 continue
-            rooms = {
+            capacities = {
                 number: other.lease.room
                 for number, other in units.items()
                 if other is not unit
                 and other.lease
                 and not other.lease.released
             }
-            unit.post(ev.RoomsSeen(self.shell.clock(), rooms))
+            unit.post(ev.RoomsSeen(self.shell.clock(), capacities))
 
     async def _pause(self) -> None:
         units = self.shell.units.values()
--- a/src/tulippin/jobs/_unseen.py
+++ b/src/tulippin/jobs/_unseen.py
@@ -53,9 +53,9 @@
     return worker.is_reconciled or state.now_ms > worker.lease_expiry_ms
 
 
-def is_settled(state: SchedulerState) -> bool:
+def are_earlier_runs_confirmed(state: SchedulerState) -> bool:
     """Whether no worker can have unconfirmed runs of any task."""
-    return state.now_ms > state.unsettled_until_ms and all(
+    return state.now_ms > state.unconfirmed_until_ms and all(
         are_runs_confirmed(worker, state)
         for worker in state.workers.values()
         if worker.may_run_any_task
@@ -88,9 +88,11 @@
     list of Job
         The jobs that have waited until now.
     """
-    if state.is_settled or not is_settled(state):
+    if state.are_earlier_runs_confirmed or not are_earlier_runs_confirmed(
+        state
+    ):
         return []
-    state.is_settled = True
+    state.are_earlier_runs_confirmed = True
     awaiting = [job for job in state.jobs.values() if job.awaits_confirmation]
     for job in state.jobs.values():
         job.awaits_confirmation = False
@@ -148,7 +150,7 @@
 def begin(account: AccountRecord | None, context: Context) -> None:
     """Record which workers may have unconfirmed runs, and until when."""
     state = context.state
-    state.is_settled = False
+    state.are_earlier_runs_confirmed = False
     reports = _get_valid_report(account, context)
     for worker_id, address in state.roster.items():
         worker = state.workers.get(worker_id)
@@ -214,7 +216,9 @@
     # An empty roster differs from the wanted one, so it is written again.
     state.roster = {}
     lasting_ms = _get_max_inherited_ms(state) * state.config.clock_drift_ratio
-    state.unsettled_until_ms = state.now_ms + int(lasting_ms) + _LAPSE_SLACK_MS
+    state.unconfirmed_until_ms = (
+        state.now_ms + int(lasting_ms) + _LAPSE_SLACK_MS
+    )
 
 
 def _get_max_inherited_ms(state: SchedulerState) -> int:
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -356,7 +356,9 @@
         _attempts.stop_again(worker, context)
         if _is_forgettable(worker, state):
             if worker.is_rostered and not worker.is_reconciled:
-                state.lost_unread.setdefault(worker.worker_id, False)
+                state.lost_unconfirmed_workers.setdefault(
+                    worker.worker_id, False
+                )
             context.log('worker removed', worker=worker.worker_id)
             del state.workers[worker.worker_id]
             context.emit(ForgetWorker(worker.worker_id))
--- a/src/tulippin/jobs/events.py
+++ b/src/tulippin/jobs/events.py
@@ -14,7 +14,7 @@
     LeaseRecord,
     ModelRecord,
     RosterRecord,
-    UnitRoom,
+    UnitCapacity,
 )
 from tulippin.jobs.types import (
     Configuration,
@@ -239,7 +239,7 @@
 class RoomsSeen(JobEvent):
     """The capacity that the owners of other units publish was read."""
 
-    rooms: dict[int, UnitRoom]
+    unit_capacities: dict[int, UnitCapacity]
 
 
 @attrs.frozen
--- a/src/tulippin/jobs/records.py
+++ b/src/tulippin/jobs/records.py
@@ -131,7 +131,7 @@
 
 
 @attrs.frozen
-class UnitRoom:
+class UnitCapacity:
     """Capacity of a unit's workers that accept tasks, and demand for it.
 
     The owner publishes it in its lease; other owners and the instances that
@@ -201,7 +201,7 @@
     renewal_count: int = 0
     released: bool = False
     waiting: dict[str, int] = attrs.field(factory=dict)
-    room: UnitRoom = UnitRoom()
+    room: UnitCapacity = UnitCapacity()
     is_loading: bool = False
     answer_ms: int = 0
 
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -239,9 +239,9 @@
             inbox = self._urgent or self._inbox
             unit, event = inbox.popleft()
             self._record_event_age(event)
-            unit.state.other_units = owned_count - unit.is_held
+            unit.state.other_unit_count = owned_count - unit.is_held
             unit.step(event)
-            owned_count = unit.state.other_units + unit.is_held
+            owned_count = unit.state.other_unit_count + unit.is_held
             if owned_count:
                 self._has_unit.set()
             if self.clock() >= until_ms:
--- a/src/tulippin/jobs/state.py
+++ b/src/tulippin/jobs/state.py
@@ -19,7 +19,7 @@
     ProgressRecord,
     QueueKinds,
     Unit,
-    UnitRoom,
+    UnitCapacity,
 )
 from tulippin.jobs.swings import SwingModel
 from tulippin.jobs.types import (
@@ -65,7 +65,7 @@
     worker_lease_limit_ms : int
         The longest lease that a worker accepts, and so the longest that
         another owner may have granted.
-    finished_kept_ms : int
+    finished_retention_ms : int
         How long the state of a finished job is kept.
     processor_share : float
         The instance's processor capacity, in cores of usual speed.
@@ -83,7 +83,7 @@
     worker_lease_limit_ms: int = 6000
     start_valid_ms: int = 1800
     clock_drift_ratio: float = 1.02
-    finished_kept_ms: int = 180_000
+    finished_retention_ms: int = 180_000
     processor_share: float = 1.0
     is_without_advice: bool = False
 
@@ -390,11 +390,11 @@
     """Ownership of the unit, as this instance knows it.
 
     ``must_confirm`` says that no order may be sent until a renewal sent after
-    ``paused_ms`` has succeeded. ``tried_version`` is the version of the lease
-    row that the last takeover attempt required.
-    ``release_why`` is the reason for a pending release, if any; it follows
-    the next renewal, but not before ``release_after_ms``. ``released_from`` is
-    the phase in which a release was last attempted.
+    ``confirm_after_ms`` has succeeded. ``attempted_lease_version`` is the
+    version of the lease row that the last takeover attempt required.
+    ``release_reason`` is the reason for a pending release, if any; it follows
+    the next renewal, but not before ``release_after_ms``.
+    ``phase_before_release`` is the phase in which a release was last attempted.
     """
 
     phase: Phase = Phase.STANDING_BY
@@ -408,16 +408,16 @@
     renewal_count: int = 0
     is_renewing: bool = False
     must_confirm: bool = False
-    paused_ms: int = 0
-    tried_version: int = 0
-    wait_extra_ms: int = 0
-    release_why: str = ''
+    confirm_after_ms: int = 0
+    attempted_lease_version: int = 0
+    takeover_delay_ms: int = 0
+    release_reason: str = ''
     release_after_ms: int = 0
-    released_from: Phase = Phase.ACTIVE
+    phase_before_release: Phase = Phase.ACTIVE
 
 
 @attrs.frozen
-class Lesson:
+class Observation:
     """A sample that the interference model learned from, and its effect.
 
     Parameters
@@ -449,15 +449,15 @@
     """Everything that the reducer reads and changes.
 
     ``queue_kinds`` says which kinds of tasks have arrived in each queue, and
-    ``is_demand_told`` whether the previous owner published the demand of short
-    ones. ``roomy_ms`` holds by service the last time when less than half of
-    its capacity was reserved.
-    ``lost_unread`` holds the workers that died or lapsed before this owner
-    read a report of theirs, with whether their crash is certain.
-
-    Advisory inputs are ignored until ``advice_after_ms`` after one of them
-    raised an error. ``advice_pause_ms`` is the length of the last such pause,
-    and ``rows_aside`` names row versions that are excluded for good.
+    ``is_demand_inherited`` whether the previous owner published the demand of
+    short ones. ``uncrowded_ms`` holds by service the last time when less than
+    half of its capacity was reserved. ``lost_unconfirmed_workers`` holds the
+    workers that died or lapsed before this owner read a report of theirs, with
+    whether their crash is certain.
+
+    Advisory inputs are ignored until ``advisory_paused_until_ms`` after one of
+    them raised an error. ``advisory_pause_ms`` is the length of the last such
+    pause, and ``excluded_rows`` names row versions that are excluded for good.
     """
 
     config: SchedulerConfig
@@ -469,23 +469,23 @@
     ready: dict[tuple[str, int, int], dict[TaskKey, Task]] = attrs.field(
         factory=dict
     )
-    ready_idle: dict[tuple[str, int, int], dict[TaskKey, Task]] = attrs.field(
-        factory=dict
+    ready_opportunistic: dict[tuple[str, int, int], dict[TaskKey, Task]] = (
+        attrs.field(factory=dict)
     )
     is_placing_due: bool = False
     is_sending_due: bool = False
     placed_ms: int = 0
-    idle_placed_ms: int = 0
-    refusals_told_ms: int = 0
-    swept_ms: int = 0
+    opportunistic_placed_ms: int = 0
+    waits_logged_ms: int = 0
+    last_sweep_ms: int = 0
     scheduled: set[str] = attrs.field(factory=set)
-    unread_jobs: set[str] = attrs.field(factory=set)
+    unreadable_jobs: set[str] = attrs.field(factory=set)
     suspects: set[TaskKey] = attrs.field(factory=set)
-    unsent: list[Attempt] = attrs.field(factory=list)
-    lost_unread: dict[str, bool] = attrs.field(factory=dict)
-    crashes_looked_ms: int = 0
-    unsettled_until_ms: int = 0
-    is_settled: bool = False
+    unsent_starts: list[Attempt] = attrs.field(factory=list)
+    lost_unconfirmed_workers: dict[str, bool] = attrs.field(factory=dict)
+    crashes_checked_ms: int = 0
+    unconfirmed_until_ms: int = 0
+    are_earlier_runs_confirmed: bool = False
     advice_asked: set[tuple[str, int, int]] = attrs.field(factory=set)
     dirty_jobs: dict[str, None] = attrs.field(factory=dict)
     dirty_since_ms: int = 0
@@ -493,18 +493,18 @@
     roster: dict[str, str] = attrs.field(factory=dict)
     roster_version: int = 0
     is_roster_committing: bool = False
-    other_units: int = 0
-    spared_count: int = 0
+    other_unit_count: int = 0
+    overload_release_count: int = 0
     is_stopping: bool = False
-    rooms: dict[int, UnitRoom] = attrs.field(factory=dict)
-    passing_ms: int = 0
-    drained_ms: int = 0
-    kept_told_ms: int = 0
-    spares_looked_ms: int = 0
-    arrived_ms: int = 0
-    overdue_ms: int = 0
-    slow_placed_ms: int = 0
-    slow_turn: int = 0
+    unit_capacities: dict[int, UnitCapacity] = attrs.field(factory=dict)
+    transfers_checked_ms: int = 0
+    drain_checked_ms: int = 0
+    obstacles_logged_ms: int = 0
+    standbys_checked_ms: int = 0
+    last_arrival_ms: int = 0
+    overdue_started_ms: int = 0
+    slow_starts_checked_ms: int = 0
+    next_slow_start: int = 0
     wall_offset_ms: int = 0
     model: PairModel = attrs.field(factory=PairModel)
     swings: SwingModel = attrs.field(factory=SwingModel)
@@ -515,29 +515,29 @@
         factory=dict
     )
     queue_kinds: dict[str, QueueKinds] = attrs.field(factory=dict)
-    roomy_ms: dict[str, int] = attrs.field(factory=dict)
-    roomy_looked_ms: int = 0
-    largest_new: dict[tuple[str, int], tuple[int, int | None]] = attrs.field(
-        factory=dict
+    uncrowded_ms: dict[str, int] = attrs.field(factory=dict)
+    uncrowded_checked_ms: int = 0
+    cached_largest_new: dict[tuple[str, int], tuple[int, int | None]] = (
+        attrs.field(factory=dict)
     )
-    is_demand_told: bool = False
+    is_demand_inherited: bool = False
     tails: dict[str, dict[TaskKey, tuple[float, int]]] = attrs.field(
         factory=dict
     )
-    lesson: Lesson | None = None
-    samples_kept: int = 0
-    model_kept_ms: int = 0
+    largest_observation: Observation | None = None
+    persisted_sample_count: int = 0
+    model_persisted_ms: int = 0
     is_model_committing: bool = False
     lowest_tails_ms: dict[str, float] = attrs.field(factory=dict)
-    advice_after_ms: int = 0
-    advice_pause_ms: int = 0
-    rows_aside: set[str] = attrs.field(factory=set)
+    advisory_paused_until_ms: int = 0
+    advisory_pause_ms: int = 0
+    excluded_rows: set[str] = attrs.field(factory=set)
     counters: dict[str, int] = attrs.field(factory=dict)
 
     @property
     def is_without_advice(self) -> bool:
         """Whether advisory inputs are ignored at present."""
-        is_early = self.now_ms < self.advice_after_ms
+        is_early = self.now_ms < self.advisory_paused_until_ms
         return is_early or self.config.is_without_advice
 
     def count(self, name: str, amount: int = 1) -> None:
--- a/src/tulippin/jobs/unit_shell.py
+++ b/src/tulippin/jobs/unit_shell.py
@@ -269,7 +269,7 @@
             session_id=f'{session_id}/{self._restarts.restart_count}',
         )
         unit = UnitShell(config, self._parent, self._rows, self._restarts)
-        unit.state.advice_after_ms = self._restarts.advice_after_ms
+        unit.state.advisory_paused_until_ms = self._restarts.advice_after_ms
         unit.state.counters = self.state.counters
         unit.state.count('unit_failures')
         return unit
--- a/src/tulippin/scheduler_operators.py
+++ b/src/tulippin/scheduler_operators.py
@@ -89,7 +89,7 @@
         'tulippin_jobs': sum(len(one.jobs) for one in states),
         'tulippin_workers': sum(len(one.workers) for one in states),
         'tulippin_steps_ready': sum(
-            len(one.ready) + len(one.ready_idle) for one in states
+            len(one.ready) + len(one.ready_opportunistic) for one in states
         ),
         'tulippin_commits_waiting': sum(len(one.dirty_jobs) for one in states),
         'tulippin_bundle_number': max(
--- a/tests/tulippin/jobs/test_accounts.py
+++ b/tests/tulippin/jobs/test_accounts.py
@@ -14,9 +14,9 @@
 from tulippin.jobs._attempts import take_end
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._unseen import (
+    are_earlier_runs_confirmed,
     begin,
     get_awaited_ms,
-    is_settled,
     make_account,
 )
 from tulippin.jobs.core import make_state
@@ -264,7 +264,7 @@
     account = AccountRecord(3, {'reported': WorkerAccount(4000, ('a.0.0.0',))})
     state = make_state_with_report(account)
     assert not state.workers['unreported'].may_run_any_task
-    assert is_settled(state)
+    assert are_earlier_runs_confirmed(state)
     assert get_awaited_ms(state) == 4000
 
 
@@ -275,7 +275,7 @@
     )
     state = make_state_with_report(account)
     assert state.workers['unreported'].may_run_any_task
-    assert not is_settled(state)
+    assert not are_earlier_runs_confirmed(state)
 
 
 IS_END_REPORTED = {
--- a/tests/tulippin/jobs/test_balancing.py
+++ b/tests/tulippin/jobs/test_balancing.py
@@ -12,7 +12,7 @@
     LayoutRecord,
     LeaseRecord,
     Unit,
-    UnitRoom,
+    UnitCapacity,
 )
 from tulippin.jobs.state import SchedulerConfig, Task
 from tulippin.jobs.types import JobRequest, Step, TaskKey
@@ -44,7 +44,7 @@
 def make_room(places, size):
     fit_counts = tuple(places for one in PLACE_SIZES if one <= size)
     reserved = CAPACITY - places * size
-    return UnitRoom(CAPACITY, reserved, places=fit_counts if places else ())
+    return UnitCapacity(CAPACITY, reserved, places=fit_counts if places else ())
 
 
 def make_request(count, cpu=5300, **options):
@@ -108,7 +108,7 @@
 
 
 def test_sizes_between_two_published_ones_count_as_the_larger():
-    room = UnitRoom(CAPACITY, 0, places=(90, 40, 25, 18, 11))
+    room = UnitCapacity(CAPACITY, 0, places=(90, 40, 25, 18, 11))
     assert _rooms.count_fitting(room, 5300) == 11
     assert _rooms.count_fitting(room, 1000) == 90
     assert _rooms.count_fitting(room, 7000) == 0
--- a/tests/tulippin/jobs/test_crash_counting.py
+++ b/tests/tulippin/jobs/test_crash_counting.py
@@ -300,7 +300,7 @@
             job = await lose_start(fleet, after_ms=60_000)
             state = fleet.instances[fleet.get_owner()].state
             with trio.fail_after(LIMIT_S):
-                while not state.is_settled:
+                while not state.are_earlier_runs_confirmed:
                     await trio.sleep(0.01)
             assert job.doubts == 0
 
--- a/tests/tulippin/jobs/test_demand.py
+++ b/tests/tulippin/jobs/test_demand.py
@@ -9,7 +9,7 @@
     DemandRecord,
     LeaseRecord,
     QueueKinds,
-    UnitRoom,
+    UnitCapacity,
 )
 from tulippin.jobs.state import Job
 from tulippin.jobs.types import Configuration, JobRequest, Step
@@ -58,7 +58,7 @@
     state = make_observed_state()
     record = DemandRecord(QUEUE.service, 0, 6000.0, 1.8e7, 5.4e10, 1.2e7, 30.0)
     for number in (1, 2):
-        state.rooms[number] = UnitRoom(
+        state.unit_capacities[number] = UnitCapacity(
             demands=(record,), service_millicores={QUEUE.service: CAPACITY}
         )
     demand = estimate(state)
@@ -79,7 +79,7 @@
     """A new owner started without demand, and gave its headroom away."""
     previous_owner = make_observed_state()
     add_demand(previous_owner, times=100)
-    room = UnitRoom(
+    room = UnitCapacity(
         demands=tuple(_demand.list_records(previous_owner)),
         queue_kinds=dict(previous_owner.queue_kinds),
     )
@@ -120,7 +120,7 @@
     state = make_observed_state()
     state.configuration = Configuration(1, (LONG_RUNNING,))
     kinds = {LONG_RUNNING.name: QueueKinds(long_running=True)}
-    state.rooms[1] = UnitRoom(queue_kinds=kinds)
+    state.unit_capacities[1] = UnitCapacity(queue_kinds=kinds)
     assert not _demand.may_show(QUEUE.service, 0, state)
 
 
@@ -130,6 +130,6 @@
 def test_estimate_accepts_all_valid_figures(mean, figure):
     state = make_observed_state()
     record = DemandRecord(QUEUE.service, 0, mean, *[figure] * 5)
-    state.rooms[1] = UnitRoom(demands=(record,))
+    state.unit_capacities[1] = UnitCapacity(demands=(record,))
     demand = estimate(state)
     assert 0 <= demand.place_millicores <= demand.piece_millicores <= CAPACITY
--- a/tests/tulippin/jobs/test_final_review.py
+++ b/tests/tulippin/jobs/test_final_review.py
@@ -35,7 +35,7 @@
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.ports import StoredRow
-from tulippin.jobs.records import DemandRecord, LeaseRecord, UnitRoom
+from tulippin.jobs.records import DemandRecord, LeaseRecord, UnitCapacity
 from tulippin.jobs.state import Task
 from tulippin.jobs.types import Configuration, Service, TaskKey
 from tulippin.types import Resources
@@ -147,7 +147,7 @@
     state = make_new_owner(8)
     for worker in state.workers.values():
         worker.entry = attrs.evolve(worker.entry, labels=frozenset({'ssd'}))
-    state.rooms[1] = UnitRoom(
+    state.unit_capacities[1] = UnitCapacity(
         80_000,
         0,
         largest_free=Resources(10_000, 64_000),
@@ -162,12 +162,12 @@
 @pytest.mark.parametrize('mean', [1e-100, 1e-150, 1e-200, 1e-270, 5e-324])
 def test_lease_with_tiny_demand_gives_finite_estimate(mean):
     record = DemandRecord('s', 0, mean, squares=1e27, cubes=1e27, count=1)
-    lease = LeaseRecord('i:1', 'i', 1, room=UnitRoom(demands=(record,)))
+    lease = LeaseRecord('i:1', 'i', 1, room=UnitCapacity(demands=(record,)))
     row = StoredRow('u', 'u1', 'lease', encode(lease), 1)
     restored = read_record(row, LeaseRecord)
     assert restored is not None
     state = make_state(2)
-    state.rooms[1] = restored.room
+    state.unit_capacities[1] = restored.room
     estimate = _demand.estimate('s', 0, 20_000, state)
     assert math.isfinite(estimate.place_millicores)
 
@@ -230,7 +230,7 @@
             owner = await fleet.wait_owner()
             state = fleet.instances[owner].state
             with trio.fail_after(12):
-                while not state.is_settled:
+                while not state.are_earlier_runs_confirmed:
                     await trio.sleep(0.01)
             assert state.jobs[waiting].doubts == 1
             worker.cut_off.clear()
--- a/tests/tulippin/jobs/test_headroom.py
+++ b/tests/tulippin/jobs/test_headroom.py
@@ -28,7 +28,7 @@
     _rooms,
 )
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs.records import UnitRoom
+from tulippin.jobs.records import UnitCapacity
 from tulippin.jobs.state import Task
 from tulippin.jobs.types import Step, TaskKey
 from tulippin.types import Resources
@@ -240,7 +240,7 @@
 
 def test_owner_that_publishes_no_headroom_keeps_none():
     """Lease rows of owners of an earlier version lack the figure."""
-    room = UnitRoom(10_000, 0, largest_free=Resources(5000, 1000))
+    room = UnitCapacity(10_000, 0, largest_free=Resources(5000, 1000))
     step = make_serving(cpu=3000)
     assert _rooms.has_place(room, step, is_new=True)
 
--- a/tests/tulippin/jobs/test_headroom_review.py
+++ b/tests/tulippin/jobs/test_headroom_review.py
@@ -43,7 +43,7 @@
 )
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.ports import StoredRow
-from tulippin.jobs.records import LeaseRecord, UnitRoom
+from tulippin.jobs.records import LeaseRecord, UnitCapacity
 from tulippin.jobs.state import Task
 from tulippin.jobs.types import JobRequest, JobState, Step, TaskKey
 from tulippin.types import Resources
@@ -329,7 +329,7 @@
 # Guards against figures so small that a division overflows.
 def test_estimate_accepts_extreme_figures():
     state = make_state(2)
-    state.rooms[1] = UnitRoom(
+    state.unit_capacities[1] = UnitCapacity(
         demands=(
             attrs.evolve(_make_record(), mean_millicores=5e-324, squares=1e30),
         )
--- a/tests/tulippin/jobs/test_kept_model_review.py
+++ b/tests/tulippin/jobs/test_kept_model_review.py
@@ -56,7 +56,7 @@
     state = make_state(SchedulerConfig('i', 'i:1'))
     state.ownership.phase = Phase.ACTIVE
     state.ownership.epoch = EpochRecord(3, 'i:1')
-    state.advice_after_ms = advice_after_ms
+    state.advisory_paused_until_ms = advice_after_ms
     reduce(state, StopRequested(1000))
     renewed = LeaseRenewed(1004, 0, 1000, is_done=True, is_fenced=False)
     effects = reduce(state, renewed)
--- a/tests/tulippin/jobs/test_loading_leases.py
+++ b/tests/tulippin/jobs/test_loading_leases.py
@@ -17,7 +17,7 @@
     LayoutRecord,
     LeaseRecord,
     Unit,
-    UnitRoom,
+    UnitCapacity,
 )
 from tulippin.jobs.state import Phase, SchedulerConfig
 from tulippin.jobs.types import JobRequest, Step
@@ -174,7 +174,7 @@
 
 
 def make_lease(*labels, **options):
-    room = UnitRoom(100_000, 0, labels=labels)
+    room = UnitCapacity(100_000, 0, labels=labels)
     return LeaseRecord('s', 'o', room=room, **options)
 
 
--- a/tests/tulippin/jobs/test_odd_rooms.py
+++ b/tests/tulippin/jobs/test_odd_rooms.py
@@ -21,7 +21,7 @@
     DemandRecord,
     LeaseRecord,
     QueueKinds,
-    UnitRoom,
+    UnitCapacity,
 )
 from tulippin.jobs.state import SchedulerConfig, SchedulerState
 from tulippin.types import Resources
@@ -35,7 +35,7 @@
 )
 SIZES = st.sampled_from((0.0, 1e-300, 1e-150, 1.0, 16_000.0, 1e21, 1e300, -1.0))
 ROOMS = st.builds(
-    UnitRoom,
+    UnitCapacity,
     FIGURES,
     FIGURES,
     FIGURES,
@@ -63,13 +63,13 @@
 
 
 @given(st.lists(ROOMS, max_size=3))
-def test_capacity_that_is_read_can_be_compared(rooms):
+def test_capacity_that_is_read_can_be_compared(capacities):
     state = SchedulerState(SchedulerConfig('i', 'i:1'), now_ms=100_000)
-    for number, room in enumerate(rooms, 1):
+    for number, room in enumerate(capacities, 1):
         record = read(room)
         if record is None:
             continue
-        state.rooms[number] = record.room
+        state.unit_capacities[number] = record.room
         _accepts_transfers(record.room)
         assert float(_get_load(record.room)) >= -MAX_MILLICORES
         count_fitting(record.room, 1000)
@@ -84,18 +84,20 @@
 
 
 INVALID_ROOMS = {
-    'capacity': UnitRoom(capacity_millicores=HUGE),
-    'reserved': UnitRoom(reserved_millicores=HUGE),
-    'below none': UnitRoom(reserved_millicores=-HUGE),
-    'idle': UnitRoom(idle_millicores=HUGE),
-    'free': UnitRoom(largest_free=Resources(HUGE, 0, 0)),
-    'places': UnitRoom(places=(1, HUGE)),
-    'waiting': UnitRoom(waiting_millicores={'a': HUGE}),
-    'new': UnitRoom(largest_new_millicores=-HUGE),
-    'short places': UnitRoom(short_places=(1, -1)),
-    'service': UnitRoom(service_millicores={'a': HUGE}),
-    'demand': UnitRoom(demands=(DemandRecord('a', 0, 1.0, 1e300),)),
-    'variance': UnitRoom(demands=(DemandRecord('a', 0, 1.0, 1.0, 1.0, -1.0),)),
+    'capacity': UnitCapacity(capacity_millicores=HUGE),
+    'reserved': UnitCapacity(reserved_millicores=HUGE),
+    'below none': UnitCapacity(reserved_millicores=-HUGE),
+    'idle': UnitCapacity(idle_millicores=HUGE),
+    'free': UnitCapacity(largest_free=Resources(HUGE, 0, 0)),
+    'places': UnitCapacity(places=(1, HUGE)),
+    'waiting': UnitCapacity(waiting_millicores={'a': HUGE}),
+    'new': UnitCapacity(largest_new_millicores=-HUGE),
+    'short places': UnitCapacity(short_places=(1, -1)),
+    'service': UnitCapacity(service_millicores={'a': HUGE}),
+    'demand': UnitCapacity(demands=(DemandRecord('a', 0, 1.0, 1e300),)),
+    'variance': UnitCapacity(
+        demands=(DemandRecord('a', 0, 1.0, 1.0, 1.0, -1.0),)
+    ),
 }
 
 
@@ -107,8 +109,8 @@
 @pytest.mark.parametrize(
     'room',
     [
-        UnitRoom(),
-        UnitRoom(
+        UnitCapacity(),
+        UnitCapacity(
             16_000, MAX_MILLICORES, MAX_MILLICORES, Resources(-9000, -1, 0)
         ),
         measure_load(SchedulerState(SchedulerConfig('i', 'i:1'))),
--- a/tests/tulippin/jobs/test_records.py
+++ b/tests/tulippin/jobs/test_records.py
@@ -39,7 +39,7 @@
     GuestRecord,
     JobRecord,
     LeaseRecord,
-    UnitRoom,
+    UnitCapacity,
     WorkerAccount,
 )
 from tulippin.jobs.types import (
@@ -264,12 +264,12 @@
 
 @pytest.mark.parametrize('fields', INVALID_CAPACITY_FIELDS)
 def test_lease_with_invalid_capacity_is_refused(fields):
-    lease = LeaseRecord('i:1', 'i', room=UnitRoom(**fields))
+    lease = LeaseRecord('i:1', 'i', room=UnitCapacity(**fields))
     assert find_fault(decode(encode(lease), LeaseRecord))
 
 
 def test_lease_with_more_reserved_than_capacity_is_valid():
-    room = UnitRoom(
+    room = UnitCapacity(
         16_000,
         20_000,
         largest_free=Resources(-4000, -100),
--- a/tests/tulippin/jobs/test_scheduler_cancels.py
+++ b/tests/tulippin/jobs/test_scheduler_cancels.py
@@ -704,7 +704,7 @@
                     raise UnavailableError('the store refuses')
 
             delays.transact = refuse_removals
-            state.config = attrs.evolve(state.config, finished_kept_ms=500)
+            state.config = attrs.evolve(state.config, finished_retention_ms=500)
             await wait_until(lambda: refused)
             await trio.sleep(0.1)
             fleet.platform.store.forget_history()
--- a/tests/tulippin/jobs/test_scheduler_crashes.py
+++ b/tests/tulippin/jobs/test_scheduler_crashes.py
@@ -407,13 +407,13 @@
                     await trio.sleep(0.01)
             state = fleet.instances[fleet.get_owner()].state
             with trio.fail_after(ABANDON_LIMIT_S):
-                while not state.unsent:
+                while not state.unsent_starts:
                     await trio.sleep(0.001)
-            worker = state.workers[state.unsent[0].worker_id]
+            worker = state.workers[state.unsent_starts[0].worker_id]
             fleet.platform.workers[worker.worker_id].cut_off.add('*')
             worker.failed_count = 1
             await trio.sleep(1)
-            assert len(state.unsent) == 1
+            assert len(state.unsent_starts) == 1
             assert fleet.count_starts(CRASHING) == 1
 
     run_virtual(run)
--- a/tests/tulippin/jobs/test_scheduler_takeovers.py
+++ b/tests/tulippin/jobs/test_scheduler_takeovers.py
@@ -319,7 +319,7 @@
         async with open_fleet(instances=1) as fleet:
             unit = fleet.instances['i0'].shell.units[0]
             unit.state.config = attrs.evolve(
-                unit.state.config, finished_kept_ms=1000
+                unit.state.config, finished_retention_ms=1000
             )
             await fleet.submit()
             await fleet.wait_done(JOB)
--- a/tests/unit_on_paper.py
+++ b/tests/unit_on_paper.py
@@ -29,7 +29,7 @@
     ModelRecord,
     ProgressRecord,
     RosterRecord,
-    UnitRoom,
+    UnitCapacity,
 )
 from tulippin.jobs.state import Phase, SchedulerConfig
 from tulippin.jobs.types import (
@@ -68,7 +68,7 @@
     # More than the free capacity.
     JobRequest('', (attrs.evolve(SERVICE_STEP, task_count=9, size=LARGE),)),
 )
-OTHER_UNIT_CAPACITY = UnitRoom(
+OTHER_UNIT_CAPACITY = UnitCapacity(
     64_000, 1000, largest_free=Resources(16_000, 64_000), places=(64,)
 )
 
