--- a/src/tulippin/jobs/_accounts.py
+++ b/src/tulippin/jobs/_accounts.py
@@ -38,7 +38,7 @@
 _READ_LIMIT_S: t.Final = 0.5
 
 
-async def make_known_writes(
+async def make_release_writes(
     effect: fx.ReleaseLease, shell: UnitShell
 ) -> list[RowWrite]:
     """Return the writes of the model, and of the report if it fits a row."""
@@ -87,12 +87,12 @@
     No other instance writes the row while this one owns the unit, and the
     release is carried out only in that case.
     """
-    if effect.unused_ms is None:
+    if effect.held_ms is None:
         return effect.account
     account = await _read_report(shell)
     if account is None or account.epoch != effect.epoch.epoch - 1:
         return None
-    return account.carry_over(effect.unused_ms)
+    return account.carry_over(effect.held_ms)
 
 
 async def _read_report(shell: UnitShell) -> AccountRecord | None:
--- a/src/tulippin/jobs/_attempts.py
+++ b/src/tulippin/jobs/_attempts.py
@@ -27,7 +27,7 @@
 )
 
 # Time after which an unanswered order to stop is sent again.
-STOP_AGAIN_MS: t.Final = 700
+STOP_RETRY_MS: t.Final = 700
 # Outcomes that the next start of a task depends on. After any other outcome
 # the task is started as if the run had not existed.
 _COUNTED_OUTCOMES: t.Final = frozenset((RunOutcome.DONE, RunOutcome.FAILED))
@@ -83,7 +83,7 @@
             job.idle_since_ms = context.state.now_ms
 
 
-def release(attempt: Attempt, context: Context, why: str) -> None:
+def drop_lost_attempt(attempt: Attempt, context: Context, why: str) -> None:
     """Remove a run that ended without an outcome, and make its task ready.
 
     The runs of the other members of its gang are stopped.
@@ -122,13 +122,13 @@
     """Make a task ready to start, unless it is over or still runs."""
     is_over = task.is_done or job.is_cancelled or job.state in FINAL_STATES
     is_over = is_over or job.is_progress_unknown
-    is_here = _lifecycle.is_here(job, task.key)
-    if is_here and not is_over and not task.attempts:
+    is_assigned_here = _lifecycle.is_assigned_here(job, task.key)
+    if is_assigned_here and not is_over and not task.attempts:
         step = job.request.steps[task.key.step]
         _ready.add(task, step, context.state)
 
 
-def take_end(worker: Worker, ended: EndedRun, context: Context) -> None:
+def apply_end(worker: Worker, ended: EndedRun, context: Context) -> None:
     """Apply the end of a run that its worker reports.
 
     A done task opens further steps or finishes its job, a failed run counts
@@ -172,7 +172,7 @@
 def _end_done(job: Job, task: Task, context: Context) -> None:
     """Mark a task as done, with all members of its gang."""
     for member in _iter_members(job, task):
-        _lifecycle.note_done(job, member, context)
+        _lifecycle.mark_done(job, member, context)
         stop_task(member, context, 'task is done')
     if job.state in FINAL_STATES:
         stop_job(job, context, 'job is finished')
@@ -263,9 +263,9 @@
     )
 
 
-def stop_again(worker: Worker, context: Context) -> None:
+def repeat_stops(worker: Worker, context: Context) -> None:
     """Repeat the orders to stop that a worker hasn't answered in time."""
-    limit_ms = context.state.now_ms - STOP_AGAIN_MS
+    limit_ms = context.state.now_ms - STOP_RETRY_MS
     for attempt in worker.attempts.values():
         is_open = (
             attempt.state is AttemptState.STOPPING
--- a/src/tulippin/jobs/_availability.py
+++ b/src/tulippin/jobs/_availability.py
@@ -89,7 +89,7 @@
 def _is_serving(job: Job, key: TaskKey, context: Context) -> bool:
     """Whether a task is known to be serving in this unit."""
     task = job.tasks.get(key)
-    if task is None or not _lifecycle.is_here(job, key):
+    if task is None or not _lifecycle.is_assigned_here(job, key):
         return False
     return any(_is_run_serving(one, context) for one in task.attempts.values())
 
--- a/src/tulippin/jobs/_crashes.py
+++ b/src/tulippin/jobs/_crashes.py
@@ -73,7 +73,7 @@
     _record_crashes(worker, context, is_sure=False)
 
 
-def note_end_of_life(worker: Worker, context: Context) -> None:
+def note_worker_crash(worker: Worker, context: Context) -> None:
     """Count the crash of a worker whose next incarnation was seen."""
     state = context.state
     if worker.leaves_at_ms:
@@ -114,7 +114,7 @@
         for attempt in worker.attempts.values()
         if attempt.is_ordered and _trials.is_recent(attempt, worker)
     ]
-    if _trials.has_trials(worker):
+    if _trials.has_probation(worker):
         suspected = [
             attempt
             for attempt in suspected
@@ -260,7 +260,7 @@
     It may not while it may have an unconfirmed run, or while its crashes
     require it to wait.
     """
-    if _unseen.is_awaited(task, state):
+    if _unseen.has_unconfirmed_run(task, state):
         return False
     return not _must_wait(job, task, state)
 
@@ -326,7 +326,7 @@
     _add_crash(job, task, record, state)
 
 
-def doubt(jobs: t.Iterable[Job], state: SchedulerState) -> None:
+def count_lost_starts(jobs: t.Iterable[Job], state: SchedulerState) -> None:
     """Count a possible lost start for jobs that may have crashed a worker.
 
     No row records what an earlier owner started in its last moments, or while
@@ -466,7 +466,7 @@
 # -- orders that wait for a commit --------------------------------------------
 
 
-def take_durable(context: Context) -> list[Attempt]:
+def take_sendable_attempts(context: Context) -> list[Attempt]:
     """Return the runs whose orders may be sent now, and mark them as sent.
 
     The next owner has to know each start of a suspected task, as a crash that
@@ -497,7 +497,7 @@
 def _may_send(attempt: Attempt, worker: Worker, state: SchedulerState) -> bool:
     """Whether the records that the order of a run depends on are durable."""
     job = state.jobs.get(attempt.key.job_id)
-    is_assignment_stored = job is not None and _lifecycle.is_place_durable(
+    is_assignment_stored = job is not None and _lifecycle.is_assignment_durable(
         job, attempt.key, worker.worker_id
     )
     if attempt.step.long_running and not is_assignment_stored:
--- a/src/tulippin/jobs/_dispatch.py
+++ b/src/tulippin/jobs/_dispatch.py
@@ -34,7 +34,7 @@
         return epoch.epoch if epoch else 0
 
     @property
-    def may_order(self) -> bool:
+    def may_send_orders(self) -> bool:
         """Whether orders may be sent to workers now."""
         ownership = self.state.ownership
         return ownership.phase is Phase.ACTIVE and not ownership.must_confirm
--- a/src/tulippin/jobs/_draining.py
+++ b/src/tulippin/jobs/_draining.py
@@ -44,7 +44,7 @@
     """Stop long-running tasks on draining workers, a few at a time."""
     state = context.state
     is_due = state.now_ms - state.drain_checked_ms >= _DRAIN_INTERVAL_MS
-    if not (context.may_order and is_due):
+    if not (context.may_send_orders and is_due):
         return
     state.drain_checked_ms = state.now_ms
     leaving = [
@@ -121,7 +121,7 @@
     if not (is_recent and _ready.is_back(job, task)):
         return False
     step = job.request.steps[task.key.step]
-    is_withheld = _unseen.holds_back(job, step)
+    is_withheld = _unseen.must_await_workers(job, step)
     return not is_withheld and _crashes.may_start(job, task, state)
 
 
--- a/src/tulippin/jobs/_evening.py
+++ b/src/tulippin/jobs/_evening.py
@@ -140,7 +140,7 @@
     """
     if not step.long_running or step.gang or not state.unit_capacities:
         return False
-    if _unseen.holds_back(job, step):
+    if _unseen.must_await_workers(job, step):
         return False
     return not (job.is_transferred or job.is_resumed)
 
--- a/src/tulippin/jobs/_feasibility.py
+++ b/src/tulippin/jobs/_feasibility.py
@@ -62,9 +62,9 @@
         return False
     if job.queue.advised and not _advice.get_ticket(worker, job, task, state):
         return False
-    return _is_below_worker_limit(worker, task, step) and _trials.may_join(
-        worker, task, state
-    )
+    return _is_below_worker_limit(
+        worker, task, step
+    ) and _trials.may_start_beside(worker, task, state)
 
 
 def accepts_runs(worker: Worker, state: SchedulerState) -> bool:
@@ -95,7 +95,8 @@
     current_configuration = state.configuration
     if (
         current_configuration is None
-        or worker.entry.service in current_configuration.guarded_services
+        or worker.entry.service
+        in current_configuration.capacity_enforcing_services
     ):
         return True
     is_recent = state.now_ms - worker.entry_read_ms <= _MAX_ENTRY_AGE_MS
--- a/src/tulippin/jobs/_giving_up.py
+++ b/src/tulippin/jobs/_giving_up.py
@@ -28,7 +28,7 @@
     """Confirm suspected crashes, and abandon jobs with too many crashes."""
     state = context.state
     is_due = state.now_ms - state.crashes_checked_ms >= _CHECK_INTERVAL_MS
-    if not (is_due and state.suspects and context.may_order):
+    if not (is_due and state.suspects and context.may_send_orders):
         return
     state.crashes_checked_ms = state.now_ms
     for job, task in _crashes.list_suspects(state):
--- a/src/tulippin/jobs/_lifecycle.py
+++ b/src/tulippin/jobs/_lifecycle.py
@@ -37,7 +37,7 @@
     FINAL_STATES,
     JobState,
     TaskKey,
-    parse_task,
+    parse_task_key,
 )
 
 _HEX_BASE: t.Final = 16
@@ -172,7 +172,7 @@
         _count_tasks(job)
         state.jobs[job_id] = job
     for name, number in record.passes.items():
-        key = parse_task(f'{job_id}.{name}')
+        key = parse_task_key(f'{job_id}.{name}')
         if number > job.passes.get(key, 0):
             job.passes[key] = number
             task = get_task(job, key)
@@ -189,7 +189,7 @@
             job.remaining[occurrence, number] = step.task_count
 
 
-def is_here(job: Job, key: TaskKey) -> bool:
+def is_assigned_here(job: Job, key: TaskKey) -> bool:
     """Whether a task is assigned to this unit.
 
     The latest transfer counts, whether the task was received or sent.
@@ -199,7 +199,7 @@
     return sent is None or received_number > sent.transfer_number
 
 
-def get_first_task(job: Job) -> TaskKey:
+def get_counted_task(job: Job) -> TaskKey:
     """Return the key of the task whose unit counts the job as waiting."""
     return TaskKey(job.job_id, 0, 0, 0)
 
@@ -213,12 +213,12 @@
     is_pending = job.state is JobState.PENDING and not job.is_progress_unknown
     if job.is_cancelled or not is_pending:
         return False
-    first = get_first_task(job)
+    first = get_counted_task(job)
     if job.is_transferred and first not in job.passes:
         return False
     task = job.tasks.get(first)
     has_run = task is not None and task.has_run
-    return is_here(job, first) and not has_run
+    return is_assigned_here(job, first) and not has_run
 
 
 def _get_arrival_ms(record: JobRecord, state: SchedulerState) -> int:
@@ -276,23 +276,23 @@
         job.finished_ms = context.state.now_ms
         if record.state is JobState.FAILED:
             # The last owner may have crashed before it notified other units.
-            _tell_failed(job, context)
+            _notify_failed(job, context)
         return
     for name, bits in record.done.items():
         occurrence, _, number = name.partition('.')
         _restore_done(job, int(occurrence), int(number), int(bits, _HEX_BASE))
     for name, runs in record.failures.items():
-        task = get_task(job, parse_task(f'{job.job_id}.{name}'))
+        task = get_task(job, parse_task_key(f'{job.job_id}.{name}'))
         task.failed_runs = set(runs)
         task.avoided.update(record.avoided.get(name, ()))
     for name, passed in record.passed.items():
-        key = parse_task(f'{job.job_id}.{name}')
+        key = parse_task_key(f'{job.job_id}.{name}')
         job.passed[key] = TransferredTask(*passed)
     for name, crashes in record.crashes.items():
-        task = get_task(job, parse_task(f'{job.job_id}.{name}'))
+        task = get_task(job, parse_task_key(f'{job.job_id}.{name}'))
         _restore_crashes(task, crashes, context.state)
     for name, started in record.started.items():
-        task = get_task(job, parse_task(f'{job.job_id}.{name}'))
+        task = get_task(job, parse_task_key(f'{job.job_id}.{name}'))
         task.unresolved_start = started
     job.doubts = record.doubts
     _restore_assigned_workers(job, record)
@@ -314,7 +314,7 @@
     """Restore the workers where long-running tasks may run, if recorded."""
     job.are_assignments_known = record.places is not None
     for name, worker_ids in (record.places or {}).items():
-        task = get_task(job, parse_task(f'{job.job_id}.{name}'))
+        task = get_task(job, parse_task_key(f'{job.job_id}.{name}'))
         task.unconfirmed_workers.update(worker_ids)
 
 
@@ -466,7 +466,7 @@
     return assigned_workers
 
 
-def is_place_durable(job: Job, key: TaskKey, worker_id: str) -> bool:
+def is_assignment_durable(job: Job, key: TaskKey, worker_id: str) -> bool:
     """Whether the stored progress names a worker for a long-running task.
 
     The next owner then looks for the task there. It may read the record of
@@ -517,7 +517,7 @@
 def _needs_start(job: Job, task: Task) -> bool:
     """Whether a task belongs to this unit, isn't done and has no runs."""
     is_idle = not task.is_done and not task.attempts
-    return is_idle and is_here(job, task.key)
+    return is_idle and is_assigned_here(job, task.key)
 
 
 def _open_transferred(job: Job, state: SchedulerState) -> None:
@@ -561,7 +561,7 @@
     _demand.note_step(job, step, opened, state)
 
 
-def mark_begun(job: Job, state: SchedulerState) -> None:
+def mark_running(job: Job, state: SchedulerState) -> None:
     """Set a job to running once its first task is started."""
     if not job.has_begun:
         job.has_begun = True
@@ -569,7 +569,7 @@
         mark_dirty(job, state)
 
 
-def note_done(job: Job, task: Task, context: Context) -> None:
+def mark_done(job: Job, task: Task, context: Context) -> None:
     """Mark a task as done, and open further steps or finish its job."""
     if task.is_done or job.state in FINAL_STATES:
         return
@@ -603,10 +603,10 @@
         reason=job.reason,
     )
     if final is JobState.FAILED:
-        _tell_failed(job, context)
+        _notify_failed(job, context)
 
 
-def _tell_failed(job: Job, context: Context) -> None:
+def _notify_failed(job: Job, context: Context) -> None:
     """Notify other units of a failure if they may run tasks of the job."""
     if job.is_transferred or job.passed:
         context.emit(FailJob(job.job_id, job.reason))
--- a/src/tulippin/jobs/_ownership.py
+++ b/src/tulippin/jobs/_ownership.py
@@ -110,7 +110,7 @@
     return is_same and lease.renewal_count <= known.renewal_count
 
 
-def may_be_free(state: SchedulerState, now_ms: int) -> bool:
+def may_take_over(state: SchedulerState, now_ms: int) -> bool:
     """Whether a tick may make the instance take over its unit.
 
     While the owner's lease is younger than the shortest takeover delay, a
@@ -207,9 +207,11 @@
             # next attempt. If the outcome is unknown, the rows may never
             # change, so the wait starts again with the known ones; a unit
             # whose takeovers all failed would never be taken otherwise.
-            ownership.changed_ms = event.at_ms if event.is_unsure else -1
+            ownership.changed_ms = event.at_ms if event.is_in_doubt else -1
         context.log(
-            'unit takeover failed', epoch=event.epoch, is_unsure=event.is_unsure
+            'unit takeover failed',
+            epoch=event.epoch,
+            is_unsure=event.is_in_doubt,
         )
         return
     ownership.phase = Phase.LOADING
@@ -320,7 +322,7 @@
     state.lost_unconfirmed_workers.clear()
 
 
-def note_pause(context: Context, gap_ms: int) -> None:
+def note_suspension(context: Context, gap_ms: int) -> None:
     """Require a confirmed renewal after the process was suspended.
 
     Parameters
@@ -350,7 +352,7 @@
     return state.now_ms - state.ownership.renewed_ms > state.config.lease_ms
 
 
-def may_prolong(state: SchedulerState) -> bool:
+def may_extend_leases(state: SchedulerState) -> bool:
     """Whether runs may be started, and worker leases extended.
 
     A successor treats the runs of a silent worker as lapsed 6.5 s after the
@@ -437,7 +439,7 @@
     was_loaded = ownership.phase is Phase.ACTIVE
     # Without restored models there is nothing newer than the stored ones.
     has_models = was_loaded and not state.is_without_advice
-    unused_ms = state.now_ms - ownership.taken_ms
+    held_ms = state.now_ms - ownership.taken_ms
     ownership.phase_before_release = ownership.phase
     ownership.phase = Phase.RELEASING
     context.log(
@@ -453,7 +455,7 @@
             _unseen.make_account(context) if was_loaded else None,
             state.ownership.epoch,
             state.ownership.epoch_version,
-            None if was_loaded else unused_ms,
+            None if was_loaded else held_ms,
             ownership.lease_version,
         )
     )
@@ -553,7 +555,7 @@
         ownership.lease_version = event.lease_version
     else:
         ownership.release_after_ms = state.now_ms + _RELEASE_RETRY_MS
-    if event.is_unsure:
+    if event.is_in_doubt:
         ownership.must_confirm = True
         ownership.confirm_after_ms = state.now_ms
     context.log(
--- a/src/tulippin/jobs/_pacing.py
+++ b/src/tulippin/jobs/_pacing.py
@@ -28,7 +28,7 @@
     SchedulerState,
     Worker,
 )
-from tulippin.jobs.types import StartOutcome
+from tulippin.jobs.types import OrderOutcome
 
 _FULL_PERCENT: t.Final = 100
 # Minimum time between a change of pace and a raise: a report covers half a
@@ -105,7 +105,7 @@
     A miss is only detected by a report. Without reports the runs would
     continue at their pace until the worker's lease expires.
     """
-    if not context.may_order:
+    if not context.may_send_orders:
         return
     for worker in context.state.workers.values():
         if worker.fillers and _feasibility.is_unheard(worker, context.state):
@@ -263,14 +263,14 @@
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
-    if event.answer.outcome is StartOutcome.FENCED:
+    if event.answer.outcome is OrderOutcome.FENCED:
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
     attempt = worker.attempts.get((event.key, event.run))
     if attempt is None:
         return
     attempt.pace_sent_ms = 0
-    if event.answer.outcome is StartOutcome.STARTED:
+    if event.answer.outcome is OrderOutcome.STARTED:
         attempt.pace_percent = event.percent
         # A paused task could not make progress until now.
         attempt.last_progress_ms = state.now_ms
--- a/src/tulippin/jobs/_passing.py
+++ b/src/tulippin/jobs/_passing.py
@@ -31,7 +31,7 @@
     Task,
     TransferredTask,
 )
-from tulippin.jobs.types import Step, TaskKey, parse_task
+from tulippin.jobs.types import Step, TaskKey, parse_task_key
 
 # A task is transferred after waiting for this long: a worker that ends a run
 # or joins is known within a second.
@@ -59,7 +59,10 @@
     state = context.state
     is_due = state.now_ms - state.transfers_checked_ms >= _TRANSFER_INTERVAL_MS
     if not (
-        context.may_order and is_due and state.unit_capacities and state.ready
+        context.may_send_orders
+        and is_due
+        and state.unit_capacities
+        and state.ready
     ):
         return
     state.transfers_checked_ms = state.now_ms
@@ -117,7 +120,7 @@
     """Whether the tasks of a step may be transferred."""
     if not step.long_running or step.gang:
         return False
-    return not _unseen.holds_back(job, step)
+    return not _unseen.must_await_workers(job, step)
 
 
 def _try_transfer(job: Job, step: Step, task: Task, context: Context) -> bool:
@@ -158,9 +161,9 @@
     run_floor = task.run_floor + (context.fencing_token + 1) * RUNS_PER_EPOCH
     job.passed[task.key] = TransferredTask(unit, number, run_floor)
     _ready.remove(task.key, step, state)
-    if not _lifecycle.is_here(job, _lifecycle.get_first_task(job)):
+    if not _lifecycle.is_assigned_here(job, _lifecycle.get_counted_task(job)):
         # From here on the other unit reports whether the job has begun.
-        _lifecycle.mark_begun(job, state)
+        _lifecycle.mark_running(job, state)
     _lifecycle.mark_dirty(job, state)
     room = state.unit_capacities[unit]
     reserved = room.reserved_millicores + step.size.cpu_millicores
@@ -181,7 +184,7 @@
 
 def _has_run(job: Job, name: str) -> bool:
     """Whether a task, by its name within the job, ran before."""
-    key = parse_task(f'{job.job_id}.{name}')
+    key = parse_task_key(f'{job.job_id}.{name}')
     return _ready.is_back(job, _lifecycle.get_task(job, key))
 
 
@@ -191,7 +194,7 @@
     """Return the crash records of tasks, for the unit that receives them."""
     found = {}
     for name in names:
-        task = job.tasks.get(parse_task(f'{job.job_id}.{name}'))
+        task = job.tasks.get(parse_task_key(f'{job.job_id}.{name}'))
         if task is not None and task.crashes:
             found[name] = task.list_crashes()
     return found
--- a/src/tulippin/jobs/_placing.py
+++ b/src/tulippin/jobs/_placing.py
@@ -73,9 +73,9 @@
         Whether the call comes from the periodic tick.
     """
     state = context.state
-    if not (context.may_order and _ownership.may_prolong(state)):
+    if not (context.may_send_orders and _ownership.may_extend_leases(state)):
         return
-    _crashes.doubt(_unseen.note_settled(state), state)
+    _crashes.count_lost_starts(_unseen.end_worker_wait(state), state)
     if is_tick or state.is_sending_due:
         state.is_sending_due = False
         _starting.send_durable(context)
@@ -129,7 +129,9 @@
         state = self.context.state
         for step_key in _ranking.sort_steps(self.queue, state):
             job = state.jobs[step_key[0]]
-            if not _unseen.holds_back(job, job.request.steps[step_key[2]]):
+            if not _unseen.must_await_workers(
+                job, job.request.steps[step_key[2]]
+            ):
                 self._place_step(job, step_key)
             if self.budget <= 0:
                 state.is_placing_due = True
@@ -168,7 +170,7 @@
             if len(tried_steps) >= _OVERDUE_TRIES:
                 return
             step = job.request.steps[task.key.step]
-            is_withheld = _unseen.holds_back(job, step)
+            is_withheld = _unseen.must_await_workers(job, step)
             if not is_withheld and self._start_overdue(job, task, tried_steps):
                 state.overdue_started_ms = state.now_ms
                 return
--- a/src/tulippin/jobs/_refusals.py
+++ b/src/tulippin/jobs/_refusals.py
@@ -44,7 +44,7 @@
     is_waiting = bool(
         state.ready_opportunistic or state.ready or state.unsent_starts
     )
-    if not (context.may_order and is_waiting):
+    if not (context.may_send_orders and is_waiting):
         return
     if state.now_ms - state.waits_logged_ms < _LOG_INTERVAL_MS:
         return
@@ -92,8 +92,8 @@
     unconfirmed = [
         task
         for job, task in waiting
-        if _unseen.holds_back(job, job.request.steps[task.key.step])
-        or _unseen.is_awaited(task, state)
+        if _unseen.must_await_workers(job, job.request.steps[task.key.step])
+        or _unseen.has_unconfirmed_run(task, state)
     ]
     oldest = min((task for _, task in waiting), key=lambda task: task.ready_ms)
     context.log(
@@ -102,8 +102,10 @@
         no_place=len(waiting) - len(unconfirmed),
         oldest=oldest.key.format(),
         waited_ms=state.now_ms - oldest.ready_ms,
-        silent_workers=_unseen.list_awaited(state)[:_MAX_LOGGED_WORKERS],
-        awaited_ms=_unseen.get_awaited_ms(state),
+        silent_workers=_unseen.list_unconfirmed_workers(state)[
+            :_MAX_LOGGED_WORKERS
+        ],
+        awaited_ms=_unseen.get_unconfirmed_ms(state),
     )
 
 
--- a/src/tulippin/jobs/_reports.py
+++ b/src/tulippin/jobs/_reports.py
@@ -94,7 +94,7 @@
             worker.deferred_ends.add(ended.key)
             continue
         worker.last_read_end_number = ended.number
-        _attempts.take_end(worker, ended, context)
+        _attempts.apply_end(worker, ended, context)
 
 
 def adopt_orphaned_runs(job: Job, context: Context) -> None:
@@ -191,14 +191,14 @@
         pace_percent=None,
     )
     is_over = task.is_done or job.is_cancelled or job.state in FINAL_STATES
-    is_over = is_over or not _lifecycle.is_here(job, row.key)
+    is_over = is_over or not _lifecycle.is_assigned_here(job, row.key)
     is_second = bool(task.attempts) and not step.allow_duplicates
     task.has_run = True
     _attempts.add_attempt(attempt, task, worker)
     _ready.remove(row.key, step, state)
     if not is_over:
         # The earlier owner may have failed before it recorded the start.
-        _lifecycle.mark_begun(job, state)
+        _lifecycle.mark_running(job, state)
         if step.long_running:
             _lifecycle.mark_dirty(job, state)
     context.log(
@@ -219,9 +219,9 @@
     """Stop a run of an unknown job; repeated until the worker drops it."""
     state = context.state
     run_id = (row.key, row.run)
-    never_ms = -_attempts.STOP_AGAIN_MS
+    never_ms = -_attempts.STOP_RETRY_MS
     sent_ms = worker.orphaned_runs.get(run_id, never_ms)
-    if state.now_ms - sent_ms < _attempts.STOP_AGAIN_MS:
+    if state.now_ms - sent_ms < _attempts.STOP_RETRY_MS:
         return
     worker.orphaned_runs[run_id] = state.now_ms
     context.log(
@@ -249,7 +249,7 @@
     if attempt.state is AttemptState.DOUBTFUL:
         if clock_ms > attempt.start_deadline_ms:
             _attempts.avoid(attempt, context)
-            _attempts.release(attempt, context, 'never started')
+            _attempts.drop_lost_attempt(attempt, context, 'never started')
         return
     if attempt.state is AttemptState.STOPPING:
         is_settled = (
@@ -260,7 +260,9 @@
             and attempt.sent_ms < event.sent_ms
         )
         if is_settled:
-            _attempts.release(attempt, context, 'stopped, no end reported')
+            _attempts.drop_lost_attempt(
+                attempt, context, 'stopped, no end reported'
+            )
         return
     if attempt.seen_ms < event.sent_ms:
-        _attempts.release(attempt, context, 'missing from report')
+        _attempts.drop_lost_attempt(attempt, context, 'missing from report')
--- a/src/tulippin/jobs/_resolving.py
+++ b/src/tulippin/jobs/_resolving.py
@@ -61,7 +61,7 @@
         )
 
 
-async def transact_surely(
+async def transact_with_retries(
     store: RowStore,
     transaction: Transaction,
     limit_s: float,
--- a/src/tulippin/jobs/_rooms.py
+++ b/src/tulippin/jobs/_rooms.py
@@ -11,7 +11,7 @@
 
 from tulippin.jobs import _demand, _feasibility, _headroom
 from tulippin.jobs._ready import StepKey
-from tulippin.jobs.records import PLACE_SIZES, UnitCapacity
+from tulippin.jobs.records import FIT_COUNT_SIZES, UnitCapacity
 from tulippin.jobs.state import SchedulerState, Task, Worker
 from tulippin.jobs.types import Step, TaskKey
 from tulippin.types import Resources
@@ -69,7 +69,7 @@
     counts = (
         sum(max(0, one.free.cpu_millicores) // size for one in available)
         - waiting_millicores // size
-        for size in PLACE_SIZES
+        for size in FIT_COUNT_SIZES
     )
     return tuple(itertools.takewhile(lambda count: count > 0, counts))
 
@@ -85,7 +85,7 @@
     places = room.places
     if is_short and room.short_places is not None:
         places = room.short_places
-    for size, count in zip(PLACE_SIZES, places, strict=False):
+    for size, count in zip(FIT_COUNT_SIZES, places, strict=False):
         if size >= size_millicores:
             return count
     return 0
--- a/src/tulippin/jobs/_row_checks.py
+++ b/src/tulippin/jobs/_row_checks.py
@@ -15,7 +15,7 @@
 
 from tulippin.jobs import _model_checks
 from tulippin.jobs.records import (
-    PLACE_SIZES,
+    FIT_COUNT_SIZES,
     AccountRecord,
     GuestRecord,
     HomeRecord,
@@ -33,7 +33,7 @@
     Schedule,
     Step,
     TaskKey,
-    parse_task,
+    parse_task_key,
 )
 from tulippin.types import Resources
 
@@ -150,7 +150,7 @@
     """Return a fault if one of the ``K.STEP.INDEX`` names is no task."""
     for name in names:
         is_name = _TASK_NAME.fullmatch(name) is not None
-        if not is_name or not has_task(request, parse_task(f'-.{name}')):
+        if not is_name or not has_task(request, parse_task_key(f'-.{name}')):
             return f'it names unknown task {name!r}'
     return ''
 
@@ -188,7 +188,7 @@
     for name, bits in (*record.done.items(), *(record.begun or {}).items()):
         if not _STEP_NAME.fullmatch(name) or not _BITS.fullmatch(bits):
             return f'malformed entry for step {name!r}'
-        key = parse_task(f'-.{name}.0')
+        key = parse_task_key(f'-.{name}.0')
         if not has_task(request, key):
             return f'it names unknown step {name!r}'
         if int(bits, _HEX) >> request.steps[key.step].task_count:
@@ -259,7 +259,9 @@
     )
     if not all(0 <= value <= _MAX_UNIT_AMOUNT for value in amounts):
         return 'its capacity is out of range'
-    if max(len(room.places), len(room.short_places or ())) > len(PLACE_SIZES):
+    if max(len(room.places), len(room.short_places or ())) > len(
+        FIT_COUNT_SIZES
+    ):
         return 'it has more fit counts than there are task sizes'
     # Free capacity is negative where more is reserved than exists.
     free = (*attrs.astuple(room.largest_free), room.largest_new_millicores)
--- a/src/tulippin/jobs/_row_effects.py
+++ b/src/tulippin/jobs/_row_effects.py
@@ -17,9 +17,9 @@
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs import effects as fx
 from tulippin.jobs import events as ev
-from tulippin.jobs._accounts import make_known_writes
+from tulippin.jobs._accounts import make_release_writes
 from tulippin.jobs._perform import perform
-from tulippin.jobs._resolving import transact_surely
+from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs._rows import (
     get_version,
     is_unreadable,
@@ -94,18 +94,18 @@
     if shell.lease is not None:
         shell.answer_times.expect(shell.lease.answer_ms / _MS)
     version = 0
-    is_unsure = False
+    is_in_doubt = False
     try:
-        result = await transact_surely(
+        result = await transact_with_retries(
             shell.ports.store, transaction, _TAKE_LIMIT_S, shell.answer_times
         )
     except UnavailableError as error:
-        shell.note_store(error)
-        is_unsure = True
+        shell.record_store_result(error)
+        is_in_doubt = True
     else:
         version = result.version if result.is_done else 0
     shell.post(
-        ev.UnitTaken(shell.clock(), effect.epoch.epoch, version, is_unsure)
+        ev.UnitTaken(shell.clock(), effect.epoch.epoch, version, is_in_doubt)
     )
 
 
@@ -139,13 +139,13 @@
     is_done = False
     is_fenced = False
     try:
-        result = await transact_surely(
+        result = await transact_with_retries(
             shell.ports.store, transaction, _RENEW_LIMIT_S, shell.answer_times
         )
     except UnavailableError as error:
-        shell.note_store(error)
+        shell.record_store_result(error)
     else:
-        shell.note_store()
+        shell.record_store_result()
         version = result.version
         is_done = result.is_done
         is_fenced = not result.is_done
@@ -168,7 +168,7 @@
 
 
 async def _run_release(effect: fx.ReleaseLease, shell: UnitShell) -> None:
-    record_writes = await make_known_writes(effect, shell)
+    record_writes = await make_release_writes(effect, shell)
     transaction = _make_lease_transaction(
         effect.lease, effect.epoch_version, shell
     )
@@ -190,9 +190,9 @@
     )
     began_ms = shell.clock()
     result = None
-    is_unsure = False
+    is_in_doubt = False
     try:
-        result = await transact_surely(
+        result = await transact_with_retries(
             shell.ports.store,
             transaction,
             _RELEASE_LIMIT_S,
@@ -200,7 +200,7 @@
         )
     except UnavailableError as error:
         reason = error.message
-        is_unsure = isinstance(error, AnswerLostError)
+        is_in_doubt = isinstance(error, AnswerLostError)
     else:
         reason = '' if result.is_done else 'row versions have changed'
     fields = {
@@ -212,7 +212,7 @@
         logger.warning(
             'unit not released',
             reason=reason,
-            may_land_later=is_unsure,
+            may_land_later=is_in_doubt,
             **fields,
         )
     else:
@@ -223,7 +223,7 @@
             shell.clock(),
             effect.epoch_version,
             not is_owned,
-            is_unsure,
+            is_in_doubt,
             lease_version,
         )
     )
@@ -286,7 +286,7 @@
         ),
     )
     # Retried until the unit is lost: no other commit starts before the result.
-    result = await transact_surely(
+    result = await transact_with_retries(
         shell.ports.store, transaction, math.inf, shell.answer_times
     )
     shell.post(
@@ -311,7 +311,7 @@
         (RowWrite(UNITS_TABLE, ROSTER_KEY, encode(effect.roster)),),
     )
     # Retried until the unit is lost: no other commit starts before the result.
-    result = await transact_surely(
+    result = await transact_with_retries(
         shell.ports.store, transaction, math.inf, shell.answer_times
     )
     shell.post(
@@ -402,7 +402,7 @@
             transaction = await make()
             if transaction is None:
                 return
-            result = await transact_surely(
+            result = await transact_with_retries(
                 shell.ports.store,
                 transaction,
                 _TRANSFER_LIMIT_S,
--- a/src/tulippin/jobs/_slow_start.py
+++ b/src/tulippin/jobs/_slow_start.py
@@ -90,7 +90,7 @@
         task = _find_startable(job, tasks.values(), state)
         # Members of a gang run only together, and at full pace.
         step = job.request.steps[kind[2]]
-        if task is None or step.gang or _unseen.holds_back(job, step):
+        if task is None or step.gang or _unseen.must_await_workers(job, step):
             continue
         idle_ms = _ready.get_idle_ms(job, task, state)
         if idle_ms >= wait_ms:
--- a/src/tulippin/jobs/_soundness.py
+++ b/src/tulippin/jobs/_soundness.py
@@ -37,7 +37,7 @@
     time if the worker stays unhealthy.
     """
     state = context.state
-    if _is_unwell(worker, context):
+    if _is_unhealthy(worker, context):
         worker.unhealthy_since_ms = worker.unhealthy_since_ms or state.now_ms
     else:
         worker.unhealthy_since_ms = 0
@@ -66,7 +66,7 @@
         _move_one_serving(worker, context)
 
 
-def _is_unwell(worker: Worker, context: Context) -> bool:
+def _is_unhealthy(worker: Worker, context: Context) -> bool:
     """Whether most tails on a worker exceed what interference explains."""
     exposures = _interference.get_exposure(worker)
     if exposures is None:
--- a/src/tulippin/jobs/_spares.py
+++ b/src/tulippin/jobs/_spares.py
@@ -28,7 +28,7 @@
     """Assign standby workers to tasks that need them, and clear others."""
     state = context.state
     is_due = state.now_ms - state.standbys_checked_ms >= _CHECK_INTERVAL_MS
-    if not (context.may_order and is_due):
+    if not (context.may_send_orders and is_due):
         return
     state.standbys_checked_ms = state.now_ms
     unprepared: list[_TaskOfStep] = []
@@ -105,6 +105,6 @@
 def is_prepared(job: Job, task: Task) -> bool:
     """Whether one of a task's standby workers is durable."""
     return any(
-        _lifecycle.is_place_durable(job, task.key, worker_id)
+        _lifecycle.is_assignment_durable(job, task.key, worker_id)
         for worker_id in task.standby_workers
     )
--- a/src/tulippin/jobs/_starting.py
+++ b/src/tulippin/jobs/_starting.py
@@ -47,8 +47,8 @@
         checkpoint=task.checkpoint,
     )
     _attempts.add_attempt(attempt, task, worker)
-    _trials.note_start(attempt, task, worker)
-    if step.long_running and not _lifecycle.is_place_durable(
+    _trials.begin_probation(attempt, task, worker)
+    if step.long_running and not _lifecycle.is_assignment_durable(
         job, task.key, worker.worker_id
     ):
         attempt.is_ordered = False
@@ -65,7 +65,7 @@
     it becomes durable 0.1 s later.
     """
     state = context.state
-    _lifecycle.mark_begun(job, state)
+    _lifecycle.mark_running(job, state)
     _lifecycle.mark_dirty(job, state)
     if attempt.is_ordered:
         _send_order(attempt, job, context)
@@ -75,7 +75,7 @@
 
 def send_durable(context: Context) -> None:
     """Send the start orders that have become durable."""
-    for attempt in _crashes.take_durable(context):
+    for attempt in _crashes.take_sendable_attempts(context):
         _send_order(attempt, context.state.jobs[attempt.key.job_id], context)
 
 
@@ -86,7 +86,7 @@
     task = job.tasks[attempt.key]
     valid_ms = state.config.start_valid_ms
     attempt.start_deadline_ms = _workers.get_clock_ms(worker, state) + valid_ms
-    _unseen.extend_lapse(worker, valid_ms, state)
+    _unseen.extend_lapse_time(worker, valid_ms, state)
     state.count('starts')
     context.log(
         'start run',
--- a/src/tulippin/jobs/_trials.py
+++ b/src/tulippin/jobs/_trials.py
@@ -61,7 +61,7 @@
     return worker.answered_ms - attempt.sent_ms < attempt.probation_ms
 
 
-def note_start(attempt: Attempt, task: Task, worker: Worker) -> None:
+def begin_probation(attempt: Attempt, task: Task, worker: Worker) -> None:
     """Begin the probation of a run whose task is suspected.
 
     Its order waits until the start is durable. Otherwise two of six starts
@@ -80,7 +80,7 @@
     )
 
 
-def may_join(worker: Worker, task: Task, state: SchedulerState) -> bool:
+def may_start_beside(worker: Worker, task: Task, state: SchedulerState) -> bool:
     """Whether the suspected runs on a worker permit a task's start there."""
     is_isolated = needs_isolation(task)
     if not (worker.probation_runs or is_isolated):
@@ -155,7 +155,7 @@
     return _LONG_RUNNING_WEIGHT if step.long_running or step.gang else 1
 
 
-def has_trials(worker: Worker) -> bool:
+def has_probation(worker: Worker) -> bool:
     """Whether a worker has a suspected run that is on probation."""
     return any(
         is_on_probation(attempt, worker)
--- a/src/tulippin/jobs/_unit_feeds.py
+++ b/src/tulippin/jobs/_unit_feeds.py
@@ -142,7 +142,7 @@
             try:
                 return await self._load_once(pages)
             except UnavailableError as error:
-                self.shell.note_store(error)
+                self.shell.record_store_result(error)
             await trio.sleep(FEED_RETRY_PAUSE_S)
 
     async def _load_once(
@@ -204,10 +204,10 @@
                 after = -1
                 continue
             except UnavailableError as error:
-                self.shell.note_store(error)
+                self.shell.record_store_result(error)
                 await trio.sleep(FEED_RETRY_PAUSE_S)
                 continue
-            self.shell.note_store()
+            self.shell.record_store_result()
             if event.rows or event.epoch_version:
                 self.shell.post(event)
 
@@ -255,7 +255,7 @@
                 # A missed model comes again with its next change.
                 after = await self._read_version(after)
             except UnavailableError as error:
-                self.shell.note_store(error)
+                self.shell.record_store_result(error)
 
     async def _read_models(
         self, after: int, models: dict[str, _ReceivedModel]
@@ -286,7 +286,7 @@
         try:
             page = await self.shell.ports.store.read_rows(MODELS_TABLE, part)
         except UnavailableError as error:
-            self.shell.note_store(error)
+            self.shell.record_store_result(error)
             return after
         return page.version
 
@@ -308,7 +308,7 @@
                 after = -1
                 continue
             except UnavailableError as error:
-                self.shell.note_store(error)
+                self.shell.record_store_result(error)
                 continue
             self._update_listed(changed, gone)
             self._post_workers(changed, gone, read_ms)
--- a/src/tulippin/jobs/_unit_watch.py
+++ b/src/tulippin/jobs/_unit_watch.py
@@ -16,7 +16,7 @@
 from tulippin.codec_json import encode
 from tulippin.exceptions import UnavailableError
 from tulippin.jobs import events as ev
-from tulippin.jobs._resolving import transact_surely
+from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs._rows import get_version, log_unreadable, read_record
 from tulippin.jobs._unit_feeds import FEED_RETRY_PAUSE_S, FEED_WAIT_MS
 from tulippin.jobs.layout import extend_layout, get_rack, make_layout
@@ -83,10 +83,10 @@
             logger.info('feed restarts', feed='units')
             self.after = -1
         except UnavailableError as error:
-            self.shell.note_store(error)
+            self.shell.record_store_result(error)
             await trio.sleep(FEED_RETRY_PAUSE_S)
         else:
-            self.shell.note_store()
+            self.shell.record_store_result()
             self._post_capacities()
             await self._pause()
 
@@ -123,7 +123,7 @@
         after = page.version
         for number in self.shell.units:
             page = await store.read_rows(UNITS_TABLE, Unit(number).part)
-            self.shell.units[number].see_rows(page.rows)
+            self.shell.units[number].apply_rows(page.rows)
         self.after = after
 
     async def _follow(self) -> None:
@@ -136,7 +136,7 @@
         for number, unit in self.shell.units.items():
             rows = changed.get(Unit(number).part)
             if rows:
-                unit.see_rows(rows)
+                unit.apply_rows(rows)
         is_new = any(unit.lease is None for unit in self.shell.units.values())
         # The rows of a new unit may have preceded the layout that adds it.
         self.after = -1 if is_new and not page.rows else page.version
@@ -217,7 +217,7 @@
             (RowCondition(UNITS_TABLE, LAYOUT_KEY, version),),
             (RowWrite(UNITS_TABLE, LAYOUT_KEY, encode(layout)),),
         )
-        result = await transact_surely(
+        result = await transact_with_retries(
             self.shell.ports.store,
             transaction,
             _WRITE_LIMIT_S,
@@ -248,4 +248,4 @@
                     extend_layout(self.shell.layout, listed)
                 )
             except UnavailableError as error:
-                self.shell.note_store(error)
+                self.shell.record_store_result(error)
--- a/src/tulippin/jobs/_unseen.py
+++ b/src/tulippin/jobs/_unseen.py
@@ -17,7 +17,7 @@
 from tulippin.jobs._row_checks import has_task
 from tulippin.jobs.records import AccountRecord, WorkerAccount
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
-from tulippin.jobs.types import Step, WorkerEntry, parse_task
+from tulippin.jobs.types import Step, WorkerEntry, parse_task_key
 
 # Maximum time for which an owner may be unaware of its successor. It learns
 # of it from its feed of jobs at once, or from any other worker's next report a
@@ -29,7 +29,7 @@
 _MAX_LOGGED_WORKERS: t.Final = 5
 
 
-def extend_lapse(
+def extend_lapse_time(
     worker: Worker, lasting_ms: int, state: SchedulerState
 ) -> None:
     """Extend the time at which runs on a worker lapse.
@@ -62,7 +62,7 @@
     )
 
 
-def list_awaited(state: SchedulerState) -> list[str]:
+def list_unconfirmed_workers(state: SchedulerState) -> list[str]:
     """Return the ids of rostered workers that may have unconfirmed runs."""
     return [
         worker_id
@@ -71,16 +71,16 @@
     ]
 
 
-def get_awaited_ms(state: SchedulerState) -> int:
+def get_unconfirmed_ms(state: SchedulerState) -> int:
     """Return the time until all unconfirmed runs have lapsed, at most."""
     lapse_times_ms = [
         state.workers[worker_id].lease_expiry_ms
-        for worker_id in list_awaited(state)
+        for worker_id in list_unconfirmed_workers(state)
     ]
     return max(0, max(lapse_times_ms, default=0) - state.now_ms)
 
 
-def note_settled(state: SchedulerState) -> list[Job]:
+def end_worker_wait(state: SchedulerState) -> list[Job]:
     """End the wait of jobs for all workers once it isn't needed any more.
 
     Returns
@@ -102,7 +102,7 @@
     return awaiting
 
 
-def holds_back(job: Job, step: Step) -> bool:
+def must_await_workers(job: Job, step: Step) -> bool:
     """Whether the tasks of a step wait for all workers with orders.
 
     Any of these workers may have unconfirmed runs of the tasks.
@@ -111,7 +111,7 @@
     return job.awaits_confirmation and not is_recorded
 
 
-def is_awaited(task: Task, state: SchedulerState) -> bool:
+def has_unconfirmed_run(task: Task, state: SchedulerState) -> bool:
     """Whether a task may have an unconfirmed run on a known worker.
 
     Workers that can't have unconfirmed runs any more are removed from the
@@ -140,7 +140,7 @@
     """
     if not worker.is_reconciled:
         worker.lease_expiry_ms = 0
-        extend_lapse(worker, state.config.worker_lease_ms, state)
+        extend_lapse_time(worker, state.config.worker_lease_ms, state)
     worker.is_reconciled = is_whole
 
 
@@ -169,7 +169,7 @@
             worker.lease_expiry_ms = state.now_ms + reported.lasting_ms
         elif reports is None:
             worker.may_run_any_task = True
-            extend_lapse(worker, _get_max_inherited_ms(state), state)
+            extend_lapse_time(worker, _get_max_inherited_ms(state), state)
         # Otherwise the worker was on the roster without an order, or all of
         # its runs had ended and it was about to be removed.
     unknown_workers = [
@@ -183,7 +183,7 @@
         silent=sum(report.is_silent for report in (reports or {}).values()),
         unknown=len(unknown_workers),
         unknown_workers=unknown_workers[:_MAX_LOGGED_WORKERS],
-        lasting_ms=get_awaited_ms(state),
+        lasting_ms=get_unconfirmed_ms(state),
     )
 
 
@@ -249,7 +249,7 @@
                 task.unconfirmed_workers -= complete
     for worker_id, report in reports.items():
         for name in report.tasks or ():
-            key = parse_task(name)
+            key = parse_task_key(name)
             job = state.jobs.get(key.job_id)
             is_task = job is not None and has_task(job.request, key)
             if is_task and worker_id in state.workers:
@@ -285,7 +285,7 @@
     found: dict[str, set[str]] = {}
     for job in state.jobs.values():
         for task in job.tasks.values():
-            if is_awaited(task, state):
+            if has_unconfirmed_run(task, state):
                 for worker_id in task.unconfirmed_workers:
                     found.setdefault(worker_id, set()).add(task.key.format())
     return found
--- a/src/tulippin/jobs/_worker_effects.py
+++ b/src/tulippin/jobs/_worker_effects.py
@@ -13,7 +13,7 @@
     FencedOrderError,
     WorkerChangedError,
 )
-from tulippin.jobs.types import OrderAnswer, StartOutcome
+from tulippin.jobs.types import OrderAnswer, OrderOutcome
 from tulippin.logs import logger
 
 if t.TYPE_CHECKING:
@@ -73,7 +73,7 @@
     """
     order = effect.order
     if shell.clock() > effect.expires_ms:
-        answer = OrderAnswer(StartOutcome.NOT_SENT)
+        answer = OrderAnswer(OrderOutcome.NOT_SENT)
         logger.info('order expired', task=order.key.format(), run=order.run)
     else:
         answer = await shell.ports.workers.start(order)
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -27,7 +27,7 @@
     WorkerSilent,
 )
 from tulippin.jobs.state import AttemptState, SchedulerState, Worker
-from tulippin.jobs.types import StartOutcome, WorkerEntry
+from tulippin.jobs.types import OrderOutcome, WorkerEntry
 
 # How long a hold call waits at the worker for the end of a run: by default,
 # where opportunistic tasks share processors with tasks that have a latency
@@ -167,7 +167,7 @@
 
     A hold call renews the worker's lease and returns its next report.
     """
-    if not context.may_order:
+    if not context.may_send_orders:
         return
     for worker in context.state.workers.values():
         _hold_if_due(worker, context)
@@ -191,10 +191,10 @@
     is_answering = (
         worker.clock_offset_ms is not None and not worker.failed_count
     )
-    if is_answering and _ownership.may_prolong(state):
+    if is_answering and _ownership.may_extend_leases(state):
         lease_ms = state.config.worker_lease_ms
         deadline_ms = get_clock_ms(worker, state) + lease_ms
-        _unseen.extend_lapse(worker, lease_ms, state)
+        _unseen.extend_lapse_time(worker, lease_ms, state)
     worker.is_hold_in_flight = True
     worker.needs_ack = False
     context.emit(
@@ -223,7 +223,7 @@
     """Return how long a hold call may wait at the worker for an end."""
     if not worker.is_reconciled or worker.failed_count:
         return 0
-    if worker.orphaned_runs or _trials.has_trials(worker):
+    if worker.orphaned_runs or _trials.has_probation(worker):
         return _PENDING_HOLD_WAIT_MS
     for attempt in worker.attempts.values():
         if attempt.state in _PENDING_STATES:
@@ -269,7 +269,7 @@
     """
     if worker.is_superseded:
         return
-    _crashes.note_end_of_life(worker, context)
+    _crashes.note_worker_crash(worker, context)
     _release_runs(worker, context, 'its worker has a new incarnation')
     worker.is_superseded = True
     worker.is_listed = False
@@ -282,7 +282,7 @@
         if attempt.is_ordered and attempt.step.long_running:
             # It may have run even if no answer has confirmed it.
             _attempts.note_running(attempt, context)
-        _attempts.release(attempt, context, why)
+        _attempts.drop_lost_attempt(attempt, context, why)
 
 
 # -- answers to orders --------------------------------------------------------
@@ -295,13 +295,13 @@
     if worker is None:
         return
     outcome = event.answer.outcome
-    if outcome is StartOutcome.FENCED:
+    if outcome is OrderOutcome.FENCED:
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
     attempt = worker.attempts.get((event.key, event.run))
     if attempt is None or attempt.state is not AttemptState.STARTING:
         return
-    if outcome is StartOutcome.STARTED:
+    if outcome is OrderOutcome.STARTED:
         attempt.state = AttemptState.RUNNING
         attempt.seen_ms = state.now_ms
         attempt.last_progress_ms = state.now_ms
@@ -309,7 +309,7 @@
         _pacing.send_if_changed(attempt, worker, context)
         return
     state.count(f'starts_{outcome.value}')
-    if outcome is StartOutcome.UNKNOWN:
+    if outcome is OrderOutcome.UNKNOWN:
         attempt.state = AttemptState.DOUBTFUL
         context.log(
             'start unanswered',
@@ -318,12 +318,14 @@
             worker=event.worker_id,
         )
         return
-    if outcome is StartOutcome.NO_ROOM:
+    if outcome is OrderOutcome.NO_ROOM:
         worker.paused_until_ms = state.now_ms + _NO_CAPACITY_PAUSE_MS
-    elif outcome is not StartOutcome.OTHER_LIFE:
+    elif outcome is not OrderOutcome.OTHER_INCARNATION:
         worker.paused_until_ms = state.now_ms + _REFUSED_START_PAUSE_MS
-    _attempts.release(attempt, context, f'start refused: {outcome.value}')
-    if outcome is StartOutcome.OTHER_LIFE:
+    _attempts.drop_lost_attempt(
+        attempt, context, f'start refused: {outcome.value}'
+    )
+    if outcome is OrderOutcome.OTHER_INCARNATION:
         _end_incarnation(worker, context)
 
 
@@ -333,11 +335,11 @@
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
-    if event.answer.outcome is StartOutcome.FENCED:
+    if event.answer.outcome is OrderOutcome.FENCED:
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
     attempt = worker.attempts.get((event.key, event.run))
-    if attempt is not None and event.answer.outcome is StartOutcome.STARTED:
+    if attempt is not None and event.answer.outcome is OrderOutcome.STARTED:
         attempt.is_stop_confirmed = True
         attempt.seen_ms = state.now_ms
 
@@ -347,13 +349,13 @@
 
 def tick(context: Context) -> None:
     """Release runs with an expired lease, repeat stops, drop lost workers."""
-    if not context.may_order:
+    if not context.may_send_orders:
         return
     state = context.state
     for worker in list(state.workers.values()):
         if worker.failed_count and state.now_ms > worker.lease_expiry_ms:
             _release_runs(worker, context, 'its lease expired')
-        _attempts.stop_again(worker, context)
+        _attempts.repeat_stops(worker, context)
         if _is_forgettable(worker, state):
             if worker.is_rostered and not worker.is_reconciled:
                 state.lost_unconfirmed_workers.setdefault(
--- a/src/tulippin/jobs/core.py
+++ b/src/tulippin/jobs/core.py
@@ -64,7 +64,7 @@
     context = Context(state)
     gap_ms = event.at_ms - state.now_ms
     if state.now_ms:
-        _ownership.note_pause(context, gap_ms)
+        _ownership.note_suspension(context, gap_ms)
     state.now_ms = max(state.now_ms, event.at_ms)
     if isinstance(event, _advising.ADVISING_EVENTS):
         _advising.hear(event, context)
@@ -73,7 +73,7 @@
     if state.ownership.phase is Phase.STANDING_BY:
         # An instance stands by for most units and decides nothing for them.
         return tuple(context.effects)
-    if isinstance(event, WorkerAnswered) and context.may_order:
+    if isinstance(event, WorkerAnswered) and context.may_send_orders:
         _evaluate_report(event, context)
     is_tick = isinstance(event, Ticked)
     _placing.place(context, is_tick=is_tick)
@@ -111,7 +111,7 @@
     _ownership.tick(context)
     _workers.tick(context)
     _committing.tick(context)
-    if context.may_order:
+    if context.may_send_orders:
         state.swings.choose_period(state.now_ms)
     for job_id in state.scheduled:
         if job_id in state.jobs:
--- a/src/tulippin/jobs/effects.py
+++ b/src/tulippin/jobs/effects.py
@@ -56,7 +56,7 @@
     """Release the unit in a planned way, with data for the next owner.
 
     ``model`` and ``account``, the release report, are None if the unit was not
-    loaded. ``unused_ms`` is then the time for which it was owned; as no order
+    loaded. ``held_ms`` is then the time for which it was owned; as no order
     was given, the previous owner's release report is handed over.
     ``lease_version`` is that of the lease row: after any later renewal, a
     delayed release has no effect.
@@ -67,7 +67,7 @@
     account: AccountRecord | None
     epoch: EpochRecord
     epoch_version: int
-    unused_ms: int | None = None
+    held_ms: int | None = None
     lease_version: int = 0
 
 
--- a/src/tulippin/jobs/events.py
+++ b/src/tulippin/jobs/events.py
@@ -74,12 +74,12 @@
     """An attempt to take the unit has ended.
 
     ``version`` is that of the rows written, or 0 if the unit was not taken.
-    ``is_unsure`` says that the store gave no result or was unavailable.
+    ``is_in_doubt`` says that the store gave no result or was unavailable.
     """
 
     epoch: int
     version: int
-    is_unsure: bool = False
+    is_in_doubt: bool = False
 
 
 @attrs.frozen
@@ -270,7 +270,7 @@
         Identifies the ownership.
     is_done : bool
         Whether the instance no longer owns the unit.
-    is_unsure : bool
+    is_in_doubt : bool
         Whether the release may be carried out, now or later, unless a renewal
         is carried out before it.
     lease_version : int
@@ -280,5 +280,5 @@
 
     epoch_version: int
     is_done: bool
-    is_unsure: bool = False
+    is_in_doubt: bool = False
     lease_version: int = 0
--- a/src/tulippin/jobs/intake.py
+++ b/src/tulippin/jobs/intake.py
@@ -13,7 +13,7 @@
 from tulippin.codec_json import encode
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs._ownership import count_waiting
-from tulippin.jobs._resolving import transact_surely
+from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs._rows import is_unreadable, read_record, read_row
 from tulippin.jobs.ports import (
     RowCondition,
@@ -43,7 +43,7 @@
 _MS: t.Final = 1000
 # A healthy store answers in 4 to 9 ms. With less time left, the caller would
 # not learn the outcome.
-LEAST_LIMIT_MS: t.Final = 10
+MIN_TIME_LIMIT_MS: t.Final = 10
 # Attempts of a cancel while the set of units that run the job's tasks changes.
 # A task is transferred at most once in several seconds.
 _MAX_CANCEL_ATTEMPTS: t.Final = 4
@@ -76,7 +76,7 @@
     ) -> TransactionResult:
         _check_limit(limit_ms)
         times = self.shell.answer_times
-        return await transact_surely(
+        return await transact_with_retries(
             self._store, transaction, limit_ms / _MS, times
         )
 
@@ -152,7 +152,7 @@
         _check_limit(limit_ms)
         wait_ms = min(limit_ms / 2, _LAYOUT_WAIT_MS)
         with trio.move_on_after(wait_ms / _MS):
-            await self.shell.laid_out.wait()
+            await self.shell.layout_known.wait()
 
     async def get_state(self, job_id: str) -> JobState | None:
         """Return a job's state, or None if there is no such job."""
@@ -235,7 +235,7 @@
 
 def _check_limit(limit_ms: int) -> None:
     """Refuse a call that can't be done in time, before it has any effect."""
-    if limit_ms < LEAST_LIMIT_MS:
+    if limit_ms < MIN_TIME_LIMIT_MS:
         raise UnavailableError(
             f'not run: {limit_ms} ms are too little; call again with more'
         )
--- a/src/tulippin/jobs/records.py
+++ b/src/tulippin/jobs/records.py
@@ -34,7 +34,7 @@
 GUEST_SUFFIX: t.Final = '/guest'
 FAIL_SUFFIX: t.Final = '/failed'
 # Task sizes, in millicores, for which an owner publishes how many more fit.
-PLACE_SIZES: t.Final = (
+FIT_COUNT_SIZES: t.Final = (
     1000,
     2000,
     3000,
@@ -150,8 +150,8 @@
     labels : tuple of str
         Labels of the workers, except their racks.
     places : tuple of int
-        How many more tasks of each size in ``PLACE_SIZES`` fit; trailing sizes
-        that do not fit are left out.
+        How many more tasks of each size in ``FIT_COUNT_SIZES`` fit; trailing
+        sizes that do not fit are left out.
     waiting_millicores : dict of str to int
         Processors that waiting opportunistic tasks request, by image.
     images : tuple of str
@@ -326,18 +326,18 @@
     epoch: int
     workers: dict[str, WorkerAccount] = attrs.field(factory=dict)
 
-    def carry_over(self, unused_ms: int) -> AccountRecord:
+    def carry_over(self, held_ms: int) -> AccountRecord:
         """Return the report for the successor of an owner without orders.
 
         Parameters
         ----------
-        unused_ms : int
+        held_ms : int
             Lower bound of the time since the report was written, which is
             subtracted from the remaining durations.
         """
         workers = {
             worker_id: attrs.evolve(
-                entry, lasting_ms=max(0, entry.lasting_ms - unused_ms)
+                entry, lasting_ms=max(0, entry.lasting_ms - held_ms)
             )
             for worker_id, entry in self.workers.items()
         }
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -76,7 +76,7 @@
         self.layout: LayoutRecord | None = None
         self.configuration: Configuration | None = None
         self.configured = trio.Event()
-        self.laid_out = trio.Event()
+        self.layout_known = trio.Event()
         self.store_answered_ms = 0
         self.event_age_ms = 0
         self.latencies = LatencyTable()
@@ -112,7 +112,7 @@
         await self._manager.__aexit__(*details)
 
     @property
-    def has_seen_units(self) -> bool:
+    def are_owners_known(self) -> bool:
         """Whether the owner of each unit has been read."""
         return all(unit.is_seen for unit in self.units.values())
 
@@ -129,7 +129,7 @@
     def apply_layout(self, layout: LayoutRecord) -> None:
         """Set the layout, and add a shell for each new unit."""
         self.layout = layout
-        self.laid_out.set()
+        self.layout_known.set()
         for number in layout.unit_numbers:
             if number not in self.units:
                 self._add_unit(number)
@@ -168,7 +168,7 @@
     def _start_replacement(self, unit: UnitShell) -> None:
         """Start a unit's new shell with the current rows and settings."""
         self._start_unit(unit)
-        unit.see_rows(())
+        unit.apply_rows(())
         if self._is_leaving:
             unit.post(ev.StopRequested(self.clock()))
 
@@ -234,14 +234,14 @@
     def _handle_slice(self) -> None:
         """Handle events for one slice of time."""
         until_ms = self.clock() + _SLICE_MS
-        owned_count = sum(unit.is_held for unit in self.units.values())
+        owned_count = sum(unit.is_claimed for unit in self.units.values())
         while self._urgent or self._inbox:
             inbox = self._urgent or self._inbox
             unit, event = inbox.popleft()
             self._record_event_age(event)
-            unit.state.other_unit_count = owned_count - unit.is_held
+            unit.state.other_unit_count = owned_count - unit.is_claimed
             unit.step(event)
-            owned_count = unit.state.other_unit_count + unit.is_held
+            owned_count = unit.state.other_unit_count + unit.is_claimed
             if owned_count:
                 self._has_unit.set()
             if self.clock() >= until_ms:
@@ -267,7 +267,7 @@
             units = list(self.units.values())
             for unit in units:
                 unit.tick(self.wall())
-            if any(unit.is_held for unit in units):
+            if any(unit.is_claimed for unit in units):
                 await trio.sleep(_TICK_S)
             else:
                 await self._wait_for_standby_tick()
@@ -311,10 +311,10 @@
                 after = -1
                 continue
             except UnavailableError as error:
-                self.note_store(error)
+                self.record_store_result(error)
                 await trio.sleep(FEED_RETRY_PAUSE_S)
                 continue
-            self.note_store()
+            self.record_store_result()
             if configuration is not None:
                 self._apply_configuration(configuration)
 
@@ -327,7 +327,9 @@
         self.post(ev.ConfigurationChanged(self.clock(), configuration))
         self.configured.set()
 
-    def note_store(self, error: UnavailableError | None = None) -> None:
+    def record_store_result(
+        self, error: UnavailableError | None = None
+    ) -> None:
         """Record whether the store answered, and log changes."""
         if error is None:
             if not self._is_store_available:
--- a/src/tulippin/jobs/types.py
+++ b/src/tulippin/jobs/types.py
@@ -54,7 +54,7 @@
         return f'{self.job_id}.{self.occurrence}.{self.step}.{self.index}'
 
 
-def parse_task(name: str) -> TaskKey:
+def parse_task_key(name: str) -> TaskKey:
     """Parse the name of a task, as made by ``TaskKey.format``.
 
     Raises
@@ -231,7 +231,7 @@
         )
 
     @functools.cached_property
-    def guarded_services(self) -> frozenset[str]:
+    def capacity_enforcing_services(self) -> frozenset[str]:
         """The services whose workers refuse tasks that don't fit."""
         return frozenset(
             service.name
@@ -311,7 +311,7 @@
     ended: tuple[EndedRun, ...] = ()
 
 
-class StartOutcome(enum.Enum):
+class OrderOutcome(enum.Enum):
     """Outcome of an order to a worker.
 
     ``STARTED`` means that the order was carried out. An order with ``UNKNOWN``
@@ -326,7 +326,7 @@
     NO_ROOM = 'no_room'
     NO_TICKET = 'no_ticket'
     UNHEALTHY = 'unhealthy'
-    OTHER_LIFE = 'other_life'
+    OTHER_INCARNATION = 'other_life'
     REJECTED = 'rejected'
     NOT_SENT = 'not_sent'
     UNKNOWN = 'unknown'
@@ -336,5 +336,5 @@
 class OrderAnswer:
     """A worker's answer to an order; ``clock_ms`` is None if not reported."""
 
-    outcome: StartOutcome
+    outcome: OrderOutcome
     clock_ms: int | None = None
--- a/src/tulippin/jobs/unit_shell.py
+++ b/src/tulippin/jobs/unit_shell.py
@@ -117,7 +117,7 @@
         return not self.is_ended and self.state.ownership.phase is Phase.ACTIVE
 
     @property
-    def is_held(self) -> bool:
+    def is_claimed(self) -> bool:
         """Whether the instance owns the unit, or is taking or releasing it."""
         phase = self.state.ownership.phase
         return not self.is_ended and phase in _HELD_PHASES
@@ -128,9 +128,9 @@
         return self.is_backing_off or self.state.ownership.phase is Phase.LEFT
 
     @property
-    def may_be_free(self) -> bool:
+    def may_take_over(self) -> bool:
         """Whether the unit may be free for this instance to take."""
-        return _ownership.may_be_free(self.state, self.clock())
+        return _ownership.may_take_over(self.state, self.clock())
 
     def clock(self) -> int:
         """Return the monotonic time in milliseconds."""
@@ -182,9 +182,11 @@
         """Record the time since ``began_ms`` in a latency metric."""
         self._parent.observe(name, label, began_ms)
 
-    def note_store(self, error: UnavailableError | None = None) -> None:
+    def record_store_result(
+        self, error: UnavailableError | None = None
+    ) -> None:
         """Record whether the store answered."""
-        self._parent.note_store(error)
+        self._parent.record_store_result(error)
 
     @property
     def listed_workers(self) -> dict[str, WorkerEntry]:
@@ -198,7 +200,7 @@
     def tick(self, wall_ms: int) -> None:
         """Post a tick, unless it could not change anything."""
         try:
-            is_due = self.is_held or self.may_be_free
+            is_due = self.is_claimed or self.may_take_over
         except Exception as error:
             self._handle_failure(error, task='tick')
             return
@@ -274,7 +276,7 @@
         unit.state.count('unit_failures')
         return unit
 
-    def see_rows(self, rows: t.Iterable[StoredRow]) -> None:
+    def apply_rows(self, rows: t.Iterable[StoredRow]) -> None:
         """Process changed rows of the unit's own part."""
         try:
             self._process_rows(rows)
@@ -324,4 +326,4 @@
     # Row changes were ignored while the instance owned the unit, and are not
     # reported again unless the rows change. Without this, a unit that was
     # released in the meantime would stay without an owner.
-    shell.see_rows(())
+    shell.apply_rows(())
--- a/src/tulippin/platform/callers.py
+++ b/src/tulippin/platform/callers.py
@@ -22,7 +22,7 @@
     MOST_TASKS,
     find_fault,
 )
-from tulippin.jobs.intake import LEAST_LIMIT_MS, JobIntake
+from tulippin.jobs.intake import MIN_TIME_LIMIT_MS, JobIntake
 from tulippin.jobs.types import (
     JobRequest,
     JobState,
@@ -298,7 +298,7 @@
             return Reply(404, ErrorBody('no such queue'))
         job_id = scope['path'].removeprefix(queue.path_prefix).strip('/')
         limit_ms = read_limit_ms(headers)
-        if limit_ms < LEAST_LIMIT_MS:
+        if limit_ms < MIN_TIME_LIMIT_MS:
             return _reply_retry(
                 job_id, _UNAVAILABLE, 'not run: too little time is left'
             )
--- a/src/tulippin/platform/standin.py
+++ b/src/tulippin/platform/standin.py
@@ -18,8 +18,8 @@
 from tulippin.jobs.ports import Advice, StartOrder
 from tulippin.jobs.types import (
     OrderAnswer,
+    OrderOutcome,
     RunOutcome,
-    StartOutcome,
     TaskKey,
     WorkerReport,
 )
@@ -185,11 +185,11 @@
         try:
             worker = await self._reach(order.address)
         except UnavailableError:
-            return OrderAnswer(StartOutcome.UNKNOWN)
+            return OrderAnswer(OrderOutcome.UNKNOWN)
         if worker.late_orders_s:
             await trio.sleep(SILENCE_S)
             trio.lowlevel.spawn_system_task(_start_late, worker, order)
-            return OrderAnswer(StartOutcome.UNKNOWN)
+            return OrderAnswer(OrderOutcome.UNKNOWN)
         return worker.take_start(order)
 
     async def stop(
@@ -204,7 +204,7 @@
         try:
             worker = await self._reach(address)
         except UnavailableError:
-            return OrderAnswer(StartOutcome.UNKNOWN)
+            return OrderAnswer(OrderOutcome.UNKNOWN)
         return worker.take_stop(worker_id, key, run, fencing_token)
 
     async def pace(
@@ -220,10 +220,10 @@
         try:
             worker = await self._reach(address)
         except UnavailableError:
-            return OrderAnswer(StartOutcome.UNKNOWN)
+            return OrderAnswer(OrderOutcome.UNKNOWN)
         if (key, run) in worker.runs:
             worker.runs[key, run].set_pace(percent)
-        return OrderAnswer(StartOutcome.STARTED, worker.clock_ms)
+        return OrderAnswer(OrderOutcome.STARTED, worker.clock_ms)
 
     async def hold(
         self,
--- a/src/tulippin/platform/standin_http.py
+++ b/src/tulippin/platform/standin_http.py
@@ -28,9 +28,9 @@
 from tulippin.jobs.types import (
     EndedRun,
     OrderAnswer,
+    OrderOutcome,
     RunningTask,
-    StartOutcome,
-    parse_task,
+    parse_task_key,
 )
 from tulippin.platform.standin import StandinPlatform, StandinWorker
 from tulippin.platform.wire import (
@@ -45,10 +45,10 @@
 )
 
 _REASONS_BY_OUTCOME: t.Final = {
-    StartOutcome.FENCED: 'fence',
-    StartOutcome.SUPERSEDED: 'old',
-    StartOutcome.TOO_LATE: 'late',
-    StartOutcome.NO_ROOM: 'room',
+    OrderOutcome.FENCED: 'fence',
+    OrderOutcome.SUPERSEDED: 'old',
+    OrderOutcome.TOO_LATE: 'late',
+    OrderOutcome.NO_ROOM: 'room',
 }
 
 
@@ -158,7 +158,7 @@
         order = StartOrder(
             request.headers['Expected-Instance'],
             self.worker.address,
-            parse_task(body.task),
+            parse_task_key(body.task),
             body.run,
             body.spec,
             body.deadline_ms,
@@ -172,7 +172,7 @@
         body = msgspec.json.decode(await request.body(), type=StopBody)
         answer = self.worker.take_stop(
             request.headers['Expected-Instance'],
-            parse_task(body.task),
+            parse_task_key(body.task),
             body.run,
             body.fencing_token,
         )
@@ -180,7 +180,7 @@
 
     async def _pace(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=PaceBody)
-        run = self.worker.runs.get((parse_task(body.task), body.run))
+        run = self.worker.runs.get((parse_task_key(body.task), body.run))
         if run is not None:
             run.set_pace(body.percent)
         return _respond(WorkerAnswerBody(self.worker.clock_ms))
@@ -231,9 +231,9 @@
 
 
 def _respond_to_order(answer: OrderAnswer) -> Response:
-    if answer.outcome is StartOutcome.OTHER_LIFE:
+    if answer.outcome is OrderOutcome.OTHER_INCARNATION:
         return Response(status_code=421)
-    if answer.outcome is StartOutcome.STARTED:
+    if answer.outcome is OrderOutcome.STARTED:
         return _respond(WorkerAnswerBody(answer.clock_ms))
     reason = _REASONS_BY_OUTCOME.get(answer.outcome, '')
     return _respond(WorkerAnswerBody(answer.clock_ms, reason), 409)
--- a/src/tulippin/platform/standin_worker.py
+++ b/src/tulippin/platform/standin_worker.py
@@ -17,9 +17,9 @@
 from tulippin.jobs.types import (
     EndedRun,
     OrderAnswer,
+    OrderOutcome,
     RunningTask,
     RunOutcome,
-    StartOutcome,
     TaskKey,
     WorkerReport,
 )
@@ -300,18 +300,18 @@
     def take_start(self, order: StartOrder) -> OrderAnswer:
         """Handle an order to start a run."""
         if order.worker_id != self.worker_id:
-            return OrderAnswer(StartOutcome.OTHER_LIFE)
+            return OrderAnswer(OrderOutcome.OTHER_INCARNATION)
         clock_ms = self.clock_ms
         if order.fencing_token < self.fence:
-            return OrderAnswer(StartOutcome.FENCED, clock_ms)
+            return OrderAnswer(OrderOutcome.FENCED, clock_ms)
         self.fence = order.fencing_token
         if (order.key, order.run) in self.runs:
-            return OrderAnswer(StartOutcome.STARTED, clock_ms)
+            return OrderAnswer(OrderOutcome.STARTED, clock_ms)
         if order.deadline_ms < clock_ms:
-            return OrderAnswer(StartOutcome.TOO_LATE, clock_ms)
+            return OrderAnswer(OrderOutcome.TOO_LATE, clock_ms)
         self.deadline_ms = max(self.deadline_ms, order.deadline_ms)
         if order.run <= self.highest_runs.get(order.key, 0):
-            return OrderAnswer(StartOutcome.SUPERSEDED, clock_ms)
+            return OrderAnswer(OrderOutcome.SUPERSEDED, clock_ms)
         plan = msgspec.json.decode(order.spec, type=TaskPlan)
         self.highest_runs[order.key] = order.run
         self.runs[order.key, order.run] = _Run(
@@ -321,22 +321,22 @@
         self._record_event('started', order.key, order.run)
         if self._is_over_capacity():
             self._record_event('over_room', order.key, order.run)
-        return OrderAnswer(StartOutcome.STARTED, clock_ms)
+        return OrderAnswer(OrderOutcome.STARTED, clock_ms)
 
     def take_stop(
         self, worker_id: str, key: TaskKey, run: int, fence: int
     ) -> OrderAnswer:
         """Handle an order to stop a run."""
         if worker_id != self.worker_id:
-            return OrderAnswer(StartOutcome.OTHER_LIFE)
+            return OrderAnswer(OrderOutcome.OTHER_INCARNATION)
         if fence < self.fence:
-            return OrderAnswer(StartOutcome.FENCED, self.clock_ms)
+            return OrderAnswer(OrderOutcome.FENCED, self.clock_ms)
         self.highest_runs[key] = max(run, self.highest_runs.get(key, 0))
         found = self.runs.get((key, run))
         if found is not None and found.stops_at_ms is None:
             found.stops_at_ms = get_now_ms() + self.stop_ms
             self.tick()
-        return OrderAnswer(StartOutcome.STARTED, self.clock_ms)
+        return OrderAnswer(OrderOutcome.STARTED, self.clock_ms)
 
     async def take_hold(
         self,
--- a/src/tulippin/platform/workers.py
+++ b/src/tulippin/platform/workers.py
@@ -17,12 +17,12 @@
 from tulippin.jobs.types import (
     EndedRun,
     OrderAnswer,
+    OrderOutcome,
     RunningTask,
     RunOutcome,
-    StartOutcome,
     TaskKey,
     WorkerReport,
-    parse_task,
+    parse_task_key,
 )
 from tulippin.logs import logger
 from tulippin.platform.wire import (
@@ -42,11 +42,11 @@
 _UNHEALTHY_STATUSES: t.Final = frozenset((429, 503))
 _FENCED_REASON: t.Final = 'fence'
 _OUTCOMES_BY_REASON: t.Final = {
-    _FENCED_REASON: StartOutcome.FENCED,
-    'old': StartOutcome.SUPERSEDED,
-    'late': StartOutcome.TOO_LATE,
-    'room': StartOutcome.NO_ROOM,
-    'ticket': StartOutcome.NO_TICKET,
+    _FENCED_REASON: OrderOutcome.FENCED,
+    'old': OrderOutcome.SUPERSEDED,
+    'late': OrderOutcome.TOO_LATE,
+    'room': OrderOutcome.NO_ROOM,
+    'ticket': OrderOutcome.NO_TICKET,
 }
 # Rows of running tasks have a fifth column only on workers where tasks share
 # processors.
@@ -181,9 +181,9 @@
         try:
             answer = await self._send(worker_id, address, path, body)
         except AnswerLostError:
-            return OrderAnswer(StartOutcome.UNKNOWN)
+            return OrderAnswer(OrderOutcome.UNKNOWN)
         except UnavailableError:
-            return OrderAnswer(StartOutcome.NOT_SENT)
+            return OrderAnswer(OrderOutcome.NOT_SENT)
         return _decode_order(answer)
 
     async def _send(
@@ -221,19 +221,19 @@
 
 def _decode_order(answer: HttpAnswer) -> OrderAnswer:
     if answer.status == _OTHER_INCARNATION:
-        return OrderAnswer(StartOutcome.OTHER_LIFE)
+        return OrderAnswer(OrderOutcome.OTHER_INCARNATION)
     if answer.status in _UNHEALTHY_STATUSES:
-        return OrderAnswer(StartOutcome.UNHEALTHY)
+        return OrderAnswer(OrderOutcome.UNHEALTHY)
     try:
         decoded = _decode(answer)
     except AnswerLostError:
-        return OrderAnswer(StartOutcome.UNKNOWN)
+        return OrderAnswer(OrderOutcome.UNKNOWN)
     if answer.status == _OK:
-        return OrderAnswer(StartOutcome.STARTED, decoded.clock_ms)
+        return OrderAnswer(OrderOutcome.STARTED, decoded.clock_ms)
     if answer.status == _CONFLICT:
-        outcome = _OUTCOMES_BY_REASON.get(decoded.reason, StartOutcome.REJECTED)
+        outcome = _OUTCOMES_BY_REASON.get(decoded.reason, OrderOutcome.REJECTED)
         return OrderAnswer(outcome, decoded.clock_ms)
-    return OrderAnswer(StartOutcome.REJECTED, decoded.clock_ms)
+    return OrderAnswer(OrderOutcome.REJECTED, decoded.clock_ms)
 
 
 def _decode_report(clock_ms: int, body: WorkerAnswerBody) -> WorkerReport:
@@ -256,7 +256,7 @@
     _require_type(percent, (int, float))
     _require_type(load, (int, float, type(None)))
     return RunningTask(
-        parse_task(task),
+        parse_task_key(task),
         run,
         checkpoint,
         min(max(percent, 0), _FULL_PERCENT),
@@ -295,7 +295,7 @@
 def _decode_ended(row: EndedRow) -> EndedRun:
     return EndedRun(
         number=row[0],
-        key=parse_task(row[1]),
+        key=parse_task_key(row[1]),
         run=row[2],
         outcome=RunOutcome(row[3]),
         checkpoint=row[4],
--- a/src/tulippin/row_table.py
+++ b/src/tulippin/row_table.py
@@ -7,7 +7,7 @@
 import attrs
 
 from tulippin.exceptions import AnswerLostError
-from tulippin.jobs._resolving import transact_surely
+from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs.ports import (
     RowCondition,
     RowStore,
@@ -67,7 +67,9 @@
                 for one in writes
             ),
         )
-        result = await transact_surely(self.store, transaction, _COMMIT_LIMIT_S)
+        result = await transact_with_retries(
+            self.store, transaction, _COMMIT_LIMIT_S
+        )
         if not result.is_done and not conditions:
             raise AnswerLostError('the store refused a write')
         return result.version if result.is_done else 0
--- a/src/tulippin/scheduler_bundles.py
+++ b/src/tulippin/scheduler_bundles.py
@@ -41,7 +41,7 @@
         try:
             await follower.check()
         except UnavailableError as error:
-            shell.note_store(error)
+            shell.record_store_result(error)
         except TulippinError as error:
             follower.log_rejected(error)
 
--- a/src/tulippin/scheduler_daemon.py
+++ b/src/tulippin/scheduler_daemon.py
@@ -180,7 +180,7 @@
             return 'no configuration yet'
         if shell.layout is None:
             return 'no units yet'
-        self._has_seen_units = self._has_seen_units or shell.has_seen_units
+        self._has_seen_units = self._has_seen_units or shell.are_owners_known
         if not self._has_seen_units:
             return 'no leases yet'
         silent_ms = read_clock_ms() - shell.store_answered_ms
--- a/tests/tulippin/jobs/test_accounts.py
+++ b/tests/tulippin/jobs/test_accounts.py
@@ -11,12 +11,12 @@
 
 from fleet_of_schedulers import QUEUE, make_request, make_step, open_fleet
 from tulippin.codec_json import decode
-from tulippin.jobs._attempts import take_end
+from tulippin.jobs._attempts import apply_end
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._unseen import (
     are_earlier_runs_confirmed,
     begin,
-    get_awaited_ms,
+    get_unconfirmed_ms,
     make_account,
 )
 from tulippin.jobs.core import make_state
@@ -265,7 +265,7 @@
     state = make_state_with_report(account)
     assert not state.workers['unreported'].may_run_any_task
     assert are_earlier_runs_confirmed(state)
-    assert get_awaited_ms(state) == 4000
+    assert get_unconfirmed_ms(state) == 4000
 
 
 @pytest.mark.parametrize('epoch', [2, 4])
@@ -295,7 +295,7 @@
     worker = state.workers['reported']
     worker.is_reconciled = True
     ended = EndedRun(1, TaskKey(JOB, 0, 0, 0), 1, outcome, checkpoint)
-    take_end(worker, ended, Context(state))
+    apply_end(worker, ended, Context(state))
     entry = make_account(Context(state)).workers['reported'].tasks
     wanted = checkpoint or IS_END_REPORTED.get(outcome, False)
     assert bool(entry) is bool(wanted)
--- a/tests/tulippin/jobs/test_balancing.py
+++ b/tests/tulippin/jobs/test_balancing.py
@@ -8,7 +8,7 @@
 
 from tulippin.jobs import _balancing, _ready, _rooms
 from tulippin.jobs.records import (
-    PLACE_SIZES,
+    FIT_COUNT_SIZES,
     LayoutRecord,
     LeaseRecord,
     Unit,
@@ -42,7 +42,7 @@
 
 
 def make_room(places, size):
-    fit_counts = tuple(places for one in PLACE_SIZES if one <= size)
+    fit_counts = tuple(places for one in FIT_COUNT_SIZES if one <= size)
     reserved = CAPACITY - places * size
     return UnitCapacity(CAPACITY, reserved, places=fit_counts if places else ())
 
--- a/tests/tulippin/jobs/test_reached_records.py
+++ b/tests/tulippin/jobs/test_reached_records.py
@@ -14,8 +14,8 @@
 from tulippin.jobs.records import AccountRecord, HomeRecord, WorkerAccount
 from tulippin.jobs.state import Phase
 from tulippin.jobs.types import (
+    OrderOutcome,
     RunOutcome,
-    StartOutcome,
     TaskKey,
     WorkerEntry,
 )
@@ -32,9 +32,9 @@
     st.tuples(st.just('answer'), numbers, tails, used),
     st.tuples(st.just('go_on'), st.integers(1, 5), tails, used),
     st.tuples(st.just('go_on'), st.integers(1, 5), tails, used),
-    st.tuples(st.just('answer_start'), st.just(StartOutcome.STARTED)),
-    st.tuples(st.just('answer_start'), st.just(StartOutcome.STARTED)),
-    st.tuples(st.just('answer_start'), st.sampled_from(StartOutcome)),
+    st.tuples(st.just('answer_start'), st.just(OrderOutcome.STARTED)),
+    st.tuples(st.just('answer_start'), st.just(OrderOutcome.STARTED)),
+    st.tuples(st.just('answer_start'), st.sampled_from(OrderOutcome)),
     st.tuples(
         st.just('end_run'),
         numbers,
@@ -150,6 +150,6 @@
     ),
     st.integers(0, 10**6),
 )
-def test_release_report_handed_over_is_valid(workers, unused_ms):
-    account = AccountRecord(4, workers).carry_over(unused_ms)
+def test_release_report_handed_over_is_valid(workers, held_ms):
+    account = AccountRecord(4, workers).carry_over(held_ms)
     assert read_back(account) == account
--- a/tests/tulippin/jobs/test_records.py
+++ b/tests/tulippin/jobs/test_records.py
@@ -27,7 +27,7 @@
 
 from tulippin.codec_json import decode, encode
 from tulippin.jobs import _unseen, core
-from tulippin.jobs._accounts import make_known_writes
+from tulippin.jobs._accounts import make_release_writes
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._row_checks import find_fault, find_progress_fault
 from tulippin.jobs.effects import CommitProgress, ReleaseLease
@@ -79,7 +79,7 @@
 def write_account(account, state):
     """Return the release report as read from its row, if one is written."""
     shell = types.SimpleNamespace(state=state)
-    writes = trio.run(make_known_writes, make_release(account), shell)
+    writes = trio.run(make_release_writes, make_release(account), shell)
     for write in writes:
         if write.table == ACCOUNTS_TABLE:
             return read_back(decode(write.value, AccountRecord))
--- a/tests/tulippin/jobs/test_scheduler_cancels.py
+++ b/tests/tulippin/jobs/test_scheduler_cancels.py
@@ -33,7 +33,7 @@
 )
 from tulippin.jobs.shell import SchedulerShell
 from tulippin.jobs.state import Phase
-from tulippin.jobs.types import JobState, OrderAnswer, StartOutcome
+from tulippin.jobs.types import JobState, OrderAnswer, OrderOutcome
 from tulippin.platform.standin import StandinAgents, get_now_ms
 from tulippin.platform.standin_store import SILENCE_S, StoreView
 
@@ -142,7 +142,7 @@
             worker = agents.platform.workers[worker_id]
             order = (worker_id, key, run, token)
             trio.lowlevel.spawn_system_task(apply_stop, worker, order)
-        return OrderAnswer(StartOutcome.UNKNOWN)
+        return OrderAnswer(OrderOutcome.UNKNOWN)
 
     monkeypatch.setattr(StandinAgents, 'stop', stop)
     return trouble
@@ -168,7 +168,7 @@
         worker = agents.platform.workers[order.worker_id]
         trio.lowlevel.spawn_system_task(apply_start, worker, order, chosen[-1])
         await trio.sleep(SILENCE_S)
-        return OrderAnswer(StartOutcome.UNKNOWN)
+        return OrderAnswer(OrderOutcome.UNKNOWN)
 
     monkeypatch.setattr(StandinAgents, 'start', start)
     return chosen
@@ -275,7 +275,7 @@
     run_virtual, stop_faults, monkeypatch
 ):
     monkeypatch.setattr(
-        'tulippin.jobs._attempts.stop_again', lambda worker, context: None
+        'tulippin.jobs._attempts.repeat_stops', lambda worker, context: None
     )
 
     async def run():
--- a/tests/tulippin/jobs/test_scheduler_crashes.py
+++ b/tests/tulippin/jobs/test_scheduler_crashes.py
@@ -206,7 +206,7 @@
 
 
 def test_healthy_jobs_fail_without_isolation(run_virtual, monkeypatch):
-    monkeypatch.setattr(_trials, 'may_join', lambda *_: True)
+    monkeypatch.setattr(_trials, 'may_start_beside', lambda *_: True)
     monkeypatch.setattr(_trials, 'get_risk', lambda *_: 0.0)
 
     async def run():
@@ -334,7 +334,9 @@
     """
     blocked = get_healthy_id(1)
     monkeypatch.setattr(
-        _trials, 'may_join', lambda worker, task, state: task.key[0] != blocked
+        _trials,
+        'may_start_beside',
+        lambda worker, task, state: task.key[0] != blocked,
     )
     monkeypatch.setattr(_crashes, 'may_start', lambda *_: True)
     crash = CrashRecord('gone', '', '', 1, 0, 0)
--- a/tests/tulippin/jobs/test_scheduler_decisions.py
+++ b/tests/tulippin/jobs/test_scheduler_decisions.py
@@ -30,8 +30,8 @@
 from tulippin.jobs.types import (
     JobRequest,
     OrderAnswer,
+    OrderOutcome,
     Queue,
-    StartOutcome,
     Step,
     TaskKey,
     WorkerEntry,
@@ -484,7 +484,7 @@
             attempt.key,
             attempt.run,
             100,
-            OrderAnswer(StartOutcome.STARTED),
+            OrderAnswer(OrderOutcome.STARTED),
         ),
     )
     judge(state, worker)
--- a/tests/tulippin/jobs/test_scheduler_fleet.py
+++ b/tests/tulippin/jobs/test_scheduler_fleet.py
@@ -267,7 +267,7 @@
 
 
 def test_suspended_owner_gives_orders_without_check(run_virtual, monkeypatch):
-    monkeypatch.setattr(_ownership, 'note_pause', lambda *_: None)
+    monkeypatch.setattr(_ownership, 'note_suspension', lambda *_: None)
 
     async def run():
         async with open_fleet(instances=2) as fleet:
@@ -298,7 +298,7 @@
     def release(attempt, event, context):
         if attempt.state is AttemptState.DOUBTFUL:
             _attempts.avoid(attempt, context)
-            _attempts.release(attempt, context, 'planted')
+            _attempts.drop_lost_attempt(attempt, context, 'planted')
 
     monkeypatch.setattr(_reports, '_judge_missing', release)
 
@@ -327,7 +327,7 @@
 
 
 def test_tasks_run_twice_without_wait_for_lease(run_virtual, monkeypatch):
-    monkeypatch.setattr(_unseen, 'extend_lapse', lambda *_: None)
+    monkeypatch.setattr(_unseen, 'extend_lapse_time', lambda *_: None)
 
     async def run():
         async with open_fleet(workers=2) as fleet:
--- a/tests/tulippin/jobs/test_scheduler_handover.py
+++ b/tests/tulippin/jobs/test_scheduler_handover.py
@@ -234,7 +234,7 @@
 def test_task_runs_twice_without_durable_assignment(
     run_virtual, failing_clients, monkeypatch
 ):
-    monkeypatch.setattr(_lifecycle, 'is_place_durable', lambda *_: True)
+    monkeypatch.setattr(_lifecycle, 'is_assignment_durable', lambda *_: True)
 
     async def run():
         async with open_fleet(instances=2, workers=3) as fleet:
@@ -375,15 +375,15 @@
     assert state.ready
 
 
-@pytest.mark.parametrize('is_unsure', [True, False])
+@pytest.mark.parametrize('is_in_doubt', [True, False])
 def test_orders_after_failed_release_wait_if_in_doubt(
-    is_unsure,
+    is_in_doubt,
 ):
     state = make_releasing()
-    core.reduce(state, ev.LeaseReleased(1500, 0, False, is_unsure))
-    assert Context(state).may_order is not is_unsure
+    core.reduce(state, ev.LeaseReleased(1500, 0, False, is_in_doubt))
+    assert Context(state).may_send_orders is not is_in_doubt
     core.reduce(state, ev.LeaseRenewed(1600, 0, 1550, True, False, 9))
-    assert Context(state).may_order
+    assert Context(state).may_send_orders
     assert state.ownership.lease_version == 9
 
 
@@ -407,7 +407,7 @@
 
 def test_fenced_owner_leaves_at_once_when_stopping():
     state = make_releasing()
-    core.reduce(state, ev.LeaseReleased(1500, 0, False, is_unsure=True))
+    core.reduce(state, ev.LeaseReleased(1500, 0, False, is_in_doubt=True))
     core.reduce(state, ev.LeaseRenewed(1600, 0, 1550, False, is_fenced=True))
     assert state.ownership.phase is Phase.LEFT
 
@@ -525,10 +525,10 @@
     state, job = make_owned()
     key = TaskKey(JOB, 0, 0, 0)
     job.durable = ProgressRecord(JobState.RUNNING, places={'0.0.0': ('w0',)})
-    assert _lifecycle.is_place_durable(job, key, 'w0')
+    assert _lifecycle.is_assignment_durable(job, key, 'w0')
     effect = commit(state, 1300)
     assert effect.writes[0].record.places == {}
-    assert not _lifecycle.is_place_durable(job, key, 'w0')
+    assert not _lifecycle.is_assignment_durable(job, key, 'w0')
     core.reduce(state, ev.ProgressCommitted(1310, effect, 50, is_fenced=False))
     assert job.pending_progress is None
     assert job.durable == effect.writes[0].record
--- a/tests/tulippin/jobs/test_scheduler_resolving.py
+++ b/tests/tulippin/jobs/test_scheduler_resolving.py
@@ -9,7 +9,7 @@
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs import _attempts
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._resolving import AnswerTimes, transact_surely
+from tulippin.jobs._resolving import AnswerTimes, transact_with_retries
 from tulippin.jobs._row_effects import _run_commit, _run_roster
 from tulippin.jobs.effects import CommitProgress, CommitRoster, ProgressWrite
 from tulippin.jobs.ports import RowCondition, RowWrite, Transaction
@@ -53,7 +53,7 @@
 
     async def run():
         view = FirstAnswerLost(store)
-        return await transact_surely(view, TRANSACTION, 5.0)
+        return await transact_with_retries(view, TRANSACTION, 5.0)
 
     result = run_virtual(run)
     assert result.is_done
@@ -67,7 +67,7 @@
         view = FirstAnswerLost(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(write_other)
-            return await transact_surely(view, TRANSACTION, 5.0)
+            return await transact_with_retries(view, TRANSACTION, 5.0)
 
     async def write_other():
         await trio.sleep(0.01)
@@ -119,10 +119,10 @@
     key = TaskKey('a', 0, 0, 0)
     for number in (4, 5):
         ended = EndedRun(number, key, 7, RunOutcome.FAILED, '')
-        _attempts.take_end(worker, ended, Context(state))
+        _attempts.apply_end(worker, ended, Context(state))
     assert job.state is not JobState.FAILED
     other = EndedRun(6, key, 8, RunOutcome.FAILED, '')
-    _attempts.take_end(worker, other, Context(state))
+    _attempts.apply_end(worker, other, Context(state))
     assert job.state is JobState.FAILED
 
 
@@ -143,7 +143,7 @@
 
 def test_retries_to_busy_store_are_limited(run_virtual):
     view = BusyStore(StandinStore())
-    result = run_virtual(transact_surely, view, TRANSACTION, 5.0)
+    result = run_virtual(transact_with_retries, view, TRANSACTION, 5.0)
     assert result.is_done
     assert view.call_count <= 5
 
--- a/tests/tulippin/jobs/test_scheduler_review.py
+++ b/tests/tulippin/jobs/test_scheduler_review.py
@@ -18,7 +18,7 @@
 from tulippin.jobs._placing import _OVERDUE_TRIES
 from tulippin.jobs._ready import OVERDUE_MS
 from tulippin.jobs._ready import add as add_ready
-from tulippin.jobs._resolving import AnswerTimes, transact_surely
+from tulippin.jobs._resolving import AnswerTimes, transact_with_retries
 from tulippin.jobs._unseen import make_account
 from tulippin.jobs.ports import Transaction, TransactionResult
 from tulippin.jobs.records import (
@@ -323,7 +323,7 @@
         times = AnswerTimes()
         for _ in range(10):
             with contextlib.suppress(AnswerLostError):
-                await transact_surely(
+                await transact_with_retries(
                     store, Transaction('p', (), ()), 1.4, times
                 )
         return store.calls
--- a/tests/tulippin/jobs/test_scheduler_takeovers.py
+++ b/tests/tulippin/jobs/test_scheduler_takeovers.py
@@ -26,7 +26,7 @@
     get_jobs_part,
 )
 from tulippin.jobs.state import Phase
-from tulippin.jobs.types import OrderAnswer, StartOutcome
+from tulippin.jobs.types import OrderAnswer, OrderOutcome
 from tulippin.platform.standin import StandinAgents
 from tulippin.platform.standin_store import SILENCE_S, StoreView
 
@@ -107,7 +107,7 @@
     async def before_stop(self, agents, worker_id, *_):
         if (agents.client, worker_id) in self.dropped_stops:
             await trio.sleep(SILENCE_S)
-            return OrderAnswer(StartOutcome.UNKNOWN)
+            return OrderAnswer(OrderOutcome.UNKNOWN)
         return None
 
 
@@ -353,7 +353,7 @@
 
 
 async def wait_all_owned(fleet):
-    await fleet.instances['i0'].shell.laid_out.wait()
+    await fleet.instances['i0'].shell.layout_known.wait()
     numbers = fleet.instances['i0'].shell.layout.unit_numbers
     with trio.fail_after(15):
         while not all(get_owner_of(fleet, number) for number in numbers):
--- a/tests/tulippin/jobs/test_scheduler_units.py
+++ b/tests/tulippin/jobs/test_scheduler_units.py
@@ -229,7 +229,7 @@
 def test_without_failure_reports_the_job_would_not_fail(
     run_virtual, monkeypatch
 ):
-    monkeypatch.setattr(_lifecycle, '_tell_failed', lambda *_: None)
+    monkeypatch.setattr(_lifecycle, '_notify_failed', lambda *_: None)
 
     async def run():
         async with open_units() as fleet:
@@ -390,7 +390,7 @@
 
     def step(unit, event):
         original(unit, event)
-        if unit.is_held:
+        if unit.is_claimed:
             clock.jump(EVENT_COST_S)
 
     monkeypatch.setattr(UnitShell, 'step', step)
--- a/tests/tulippin/jobs/test_scheduler_waiting_review.py
+++ b/tests/tulippin/jobs/test_scheduler_waiting_review.py
@@ -44,9 +44,9 @@
 from tulippin.jobs.types import (
     JobRequest,
     OrderAnswer,
+    OrderOutcome,
     Queue,
     Schedule,
-    StartOutcome,
     Step,
     TaskKey,
     WorkerEntry,
@@ -203,7 +203,7 @@
 
     def take_start(worker, order):
         if worker.worker_id in refusing and '000a' in order.key.job_id:
-            return OrderAnswer(StartOutcome.UNHEALTHY, worker.clock_ms)
+            return OrderAnswer(OrderOutcome.UNHEALTHY, worker.clock_ms)
         return take(worker, order)
 
     monkeypatch.setattr(StandinWorker, 'take_start', take_start)
--- a/tests/tulippin/jobs/test_standby.py
+++ b/tests/tulippin/jobs/test_standby.py
@@ -19,7 +19,7 @@
     original = UnitShell.step
 
     def step(unit, event):
-        if not unit.is_held:
+        if not unit.is_claimed:
             counts[unit.config.instance_id] += 1
         original(unit, event)
 
--- a/tests/tulippin/jobs/test_unit_failures_review.py
+++ b/tests/tulippin/jobs/test_unit_failures_review.py
@@ -97,7 +97,7 @@
             shell.units[1].post(
                 ConfigurationChanged(shell.clock(), shell.configuration)
             )
-            shell.units[1].see_rows(())
+            shell.units[1].apply_rows(())
             for _ in range(100 * WATCHED_S):
                 await trio.sleep(0.01)
                 assert len(told_failures) <= MAX_FAILURES
@@ -209,8 +209,8 @@
             inject_errors(
                 monkeypatch, LeaseSeen, 0, when=lambda _, count: not count
             )
-            unit.see_rows(())
-            unit.see_rows(())
+            unit.apply_rows(())
+            unit.apply_rows(())
             await trio.sleep(2)
             assert unit.is_ended
             assert feeds.scope.cancel_called
@@ -283,7 +283,7 @@
 
 @pytest.mark.parametrize(
     ('owner', 'name'),
-    [(_ownership, 'may_be_free'), (UnitRows, 'make_event')],
+    [(_ownership, 'may_take_over'), (UnitRows, 'make_event')],
 )
 def test_errors_in_ticks_or_rows_of_unit_do_not_stop_others(
     run_virtual, monkeypatch, told_failures, owner, name
--- a/tests/tulippin/jobs/test_unknown_rooms_review.py
+++ b/tests/tulippin/jobs/test_unknown_rooms_review.py
@@ -28,7 +28,7 @@
     for number in (2, 3):
         key = slow.key._replace(index=number)
         state.tails.setdefault(key.job_id, {})[key] = (12.0, state.now_ms)
-    return _soundness._is_unwell(worker, Context(state))
+    return _soundness._is_unhealthy(worker, Context(state))
 
 
 def test_worker_of_unknown_capacity_is_not_judged_by_its_tails():
--- a/tests/tulippin/platform/test_caller_deadlines.py
+++ b/tests/tulippin/platform/test_caller_deadlines.py
@@ -147,7 +147,7 @@
             await fleet.wait_owner()
             app = make_app(fleet)
             shell = next(iter(fleet.instances.values())).shell
-            shell.laid_out = trio.Event()
+            shell.layout_known = trio.Event()
             shell.choose_unit = lambda request: None
             answer = await call(app, 'POST', deadline)
             assert answer.status == 503
@@ -165,7 +165,7 @@
         async with open_fleet(1) as fleet:
             await fleet.wait_owner()
             instance = next(iter(fleet.instances.values()))
-            instance.shell.laid_out = trio.Event()
+            instance.shell.layout_known = trio.Event()
             with pytest.raises(UnavailableError):
                 await instance.intake.submit(JOB, QUEUE, make_request(), 18)
             assert not await is_stored(fleet)
--- a/tests/tulippin/platform/test_foreign_entries.py
+++ b/tests/tulippin/platform/test_foreign_entries.py
@@ -11,7 +11,7 @@
 from tulippin._http_client import HttpAnswer, HttpClient
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs.ports import Transaction
-from tulippin.jobs.types import StartOutcome, TaskKey
+from tulippin.jobs.types import OrderOutcome, TaskKey
 from tulippin.platform.feeds import PlatformFeeds
 from tulippin.platform.standin_store import StandinStore
 from tulippin.platform.store import PlatformStore
@@ -507,7 +507,7 @@
             await agents.hold('w0', address, 1, 0, None, 0)
         return await agents.stop('w0', address, key, 1, 1)
 
-    assert trio.run(call).outcome is StartOutcome.NOT_SENT
+    assert trio.run(call).outcome is OrderOutcome.NOT_SENT
     assert client.call_count == 0
 
 
--- a/tests/tulippin/platform/test_platform_daemon.py
+++ b/tests/tulippin/platform/test_platform_daemon.py
@@ -322,12 +322,12 @@
 ):
     """Otherwise a ready instance rejects its first request for counts."""
     delayed = []
-    see_rows = UnitShell.see_rows
+    apply_rows = UnitShell.apply_rows
 
     def delay(unit, rows):
         delayed.append((unit, rows))
 
-    monkeypatch.setattr(UnitShell, 'see_rows', delay)
+    monkeypatch.setattr(UnitShell, 'apply_rows', delay)
     async with serve(tmp_path, configure=False) as site:
         site.servers.platform.configure(make_config_body())
         with trio.fail_after(10):
@@ -335,6 +335,6 @@
                 await trio.sleep(0.02)
         assert site.daemon.get_unready() == 'no leases yet'
         for unit, rows in delayed:
-            see_rows(unit, rows)
+            apply_rows(unit, rows)
         await site.wait_ready(configure=True)
         assert (await site.call('GET', '/q/')).status == 200
--- a/tests/tulippin/platform/test_suspension.py
+++ b/tests/tulippin/platform/test_suspension.py
@@ -26,7 +26,7 @@
 )
 from tulippin.jobs.types import (
     OrderAnswer,
-    StartOutcome,
+    OrderOutcome,
     TaskKey,
     WorkerEntry,
     WorkerReport,
@@ -185,7 +185,7 @@
 
     async def start(self, order):
         self.orders.append(order)
-        return OrderAnswer(StartOutcome.STARTED, 0)
+        return OrderAnswer(OrderOutcome.STARTED, 0)
 
 
 @attrs.define
@@ -219,7 +219,7 @@
     assert bool(shell.workers.orders) is is_sent
     (event,) = shell.posted
     assert isinstance(event, StartAnswered)
-    outcome = StartOutcome.STARTED if is_sent else StartOutcome.NOT_SENT
+    outcome = OrderOutcome.STARTED if is_sent else OrderOutcome.NOT_SENT
     assert event.answer.outcome is outcome
 
 
@@ -258,7 +258,7 @@
 
 
 def test_answer_would_count_as_new_without_the_pause(monkeypatch):
-    monkeypatch.setattr(_ownership, 'note_pause', lambda *_: None)
+    monkeypatch.setattr(_ownership, 'note_suspension', lambda *_: None)
     state, worker = make_owner()
     wake(state)
     assert worker.answered_ms == state.now_ms
--- a/tests/tulippin/test_foreign_bundles.py
+++ b/tests/tulippin/test_foreign_bundles.py
@@ -44,7 +44,7 @@
     def post(self, event):
         self.posted.append(event)
 
-    def note_store(self, error):
+    def record_store_result(self, error):
         raise error
 
 
--- a/tests/unit_on_paper.py
+++ b/tests/unit_on_paper.py
@@ -13,7 +13,7 @@
 from tulippin.jobs import _lifecycle, core
 from tulippin.jobs import effects as fx
 from tulippin.jobs import events as ev
-from tulippin.jobs._accounts import make_known_writes
+from tulippin.jobs._accounts import make_release_writes
 from tulippin.jobs._row_checks import find_fault, find_progress_fault
 from tulippin.jobs.ports import StoredRow
 from tulippin.jobs.records import (
@@ -37,11 +37,11 @@
     EndedRun,
     JobRequest,
     OrderAnswer,
+    OrderOutcome,
     Queue,
     RunningTask,
     RunOutcome,
     Schedule,
-    StartOutcome,
     Step,
     TaskKey,
     WorkerEntry,
@@ -274,7 +274,7 @@
         for _ in range(rounds):
             self.pass_time(6)
             while self.starts:
-                self.answer_start(StartOutcome.STARTED)
+                self.answer_start(OrderOutcome.STARTED)
             for number in range(len(self.workers)):
                 self.answer(number, tail_ms + number, used_millicores)
             self.commit()
@@ -290,7 +290,7 @@
         worker = self.workers.get(order.worker_id)
         if worker is None:
             return
-        if outcome is StartOutcome.STARTED:
+        if outcome is OrderOutcome.STARTED:
             worker.runs[order.key, order.run] = 1.0
         answer = OrderAnswer(outcome, self.now_ms)
         self.reduce(
@@ -396,7 +396,7 @@
         for effect in released:
             read_back(effect.lease)
             shell = types.SimpleNamespace(state=self.state)
-            writes = trio.run(make_known_writes, effect, shell)
+            writes = trio.run(make_release_writes, effect, shell)
             kept = {write.table: write.value for write in writes}
             # Everything in the owner's state must be valid in the records.
             self.account = read_back(
