--- a/tests/tulippin/platform/test_daemon_failures.py
+++ b/tests/tulippin/platform/test_daemon_failures.py
@@ -30,17 +30,17 @@
 
 
 async def test_bundle_error_does_not_end_the_instance(
-    tmp_path, monkeypatch, told_failures
+    tmp_path, monkeypatch, contained_failures
 ):
     monkeypatch.setattr(scheduler_daemon, 'follow_bundles', fail_soon)
     async with serve(tmp_path) as site:
         await trio.sleep(0.3)
         assert (await site.call('GET', f'/q/{JOB}')).status == 410
-    check_contained(told_failures, 'task failed')
+    check_contained(contained_failures, 'task failed')
 
 
 async def test_settings_error_does_not_end_the_instance(
-    tmp_path, monkeypatch, told_failures
+    tmp_path, monkeypatch, contained_failures
 ):
     async with serve(tmp_path) as site:
         monkeypatch.setattr(scheduler_daemon, 'load_scheduler_settings', fail)
@@ -50,11 +50,11 @@
         # A signal causes the same call.
         site.daemon.reload()
         assert (await site.call('GET', f'/q/{JOB}')).status == 410
-    check_contained(told_failures, 'settings failed')
+    check_contained(contained_failures, 'settings failed')
 
 
 async def test_log_error_does_not_end_the_instance(
-    tmp_path, monkeypatch, told_failures
+    tmp_path, monkeypatch, contained_failures
 ):
     async with serve(tmp_path) as site:
         flush = site.lines.flush
@@ -62,14 +62,14 @@
         await trio.sleep(0.5)
         monkeypatch.setattr(site.lines, 'flush', flush)
         assert (await site.call('GET', f'/q/{JOB}')).status == 410
-    check_contained(told_failures, 'task failed')
+    check_contained(contained_failures, 'task failed')
 
 
 @pytest.mark.parametrize(
     ('port', 'status'), [('callers', 504), ('internal', 500)]
 )
 async def test_error_in_a_request_is_reported(
-    tmp_path, monkeypatch, told_failures, port, status
+    tmp_path, monkeypatch, contained_failures, port, status
 ):
     monkeypatch.setattr(JobIntake, 'get_state', fail)
     monkeypatch.setattr(
@@ -80,10 +80,10 @@
             'GET', f'/q/{JOB}', port=site.daemon.ports[port]
         )
         assert answer.status == status
-    check_contained(told_failures, 'call failed')
+    check_contained(contained_failures, 'call failed')
 
 
-def check_contained(told_failures, what):
-    assert {one.what for one in told_failures} == {what}
-    assert all('PlantedError' in repr(one.error) for one in told_failures)
-    told_failures.clear()
+def check_contained(contained_failures, what):
+    assert {one.what for one in contained_failures} == {what}
+    assert all('PlantedError' in repr(one.error) for one in contained_failures)
+    contained_failures.clear()
--- a/tests/tulippin/platform/test_suspension.py
+++ b/tests/tulippin/platform/test_suspension.py
@@ -254,7 +254,7 @@
     assert state.ownership.must_confirm
     assert worker.answered_ms == NOW_MS - 300
     worker.serving[KEY, 1] = None
-    assert _feasibility.is_unheard(worker, state)
+    assert _feasibility.has_stale_tails(worker, state)
 
 
 def test_answer_would_count_as_new_without_the_pause(monkeypatch):
--- a/tests/tulippin/test_failures_review.py
+++ b/tests/tulippin/test_failures_review.py
@@ -54,7 +54,7 @@
     ],
     ids=['unprintable', 'group', 'lone surrogate', 'long'],
 )
-def test_line_is_written_whatever_the_error_is(told_failures, error):
+def test_line_is_written_whatever_the_error_is(contained_failures, error):
     reader, writer = os.pipe()
     lines = LineBuffer(writer, {})
     with logbook.Flags(errors='raise'), lines.applicationbound():
@@ -67,4 +67,4 @@
     assert line['unit'] == 3
     assert 'in raise_it' in line['traceback']
     assert line['cause']
-    told_failures.clear()
+    contained_failures.clear()
--- a/tests/tulippin/test_scheduler_process_records.py
+++ b/tests/tulippin/test_scheduler_process_records.py
@@ -16,7 +16,7 @@
 from tulippin.codec_json import encode
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.ports import StoredRow
-from tulippin.platform.standin_store import SILENCE_S, StandinStore
+from tulippin.platform.standin_store import CALL_TIMEOUT_S, StandinStore
 from tulippin.scheduler_process_records import (
     PROCESS_RECORDS_TABLE,
     ProcessEnd,
@@ -258,7 +258,7 @@
         recorder = site.make_recorder()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(recorder.begin)
-            await trio.sleep(SILENCE_S / 2)
+            await trio.sleep(CALL_TIMEOUT_S / 2)
             site.store.trouble.silenced.clear()
             await recorder.end_planned()
         assert recorder.last.last_session == 'edge-1:1'
@@ -312,7 +312,7 @@
 def test_restart_storm_costs_one_read_and_one_write_each(run):
     async def scenario(site):
         names = [f'edge-{number}' for number in range(97)]
-        site.store.trouble.write_s = 0.3
+        site.store.trouble.write_duration_s = 0.3
         began_s = trio.current_time()
         async with trio.open_nursery() as nursery:
             for name in names:
@@ -387,7 +387,7 @@
         recorder = site.make_recorder()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(recorder.begin)
-            await trio.sleep(SILENCE_S / 3)
+            await trio.sleep(CALL_TIMEOUT_S / 3)
             assert not recorder.decide_without_advice()
         site.store.trouble.silenced.clear()
         later = site.make_recorder()
--- a/tests/unit_on_paper.py
+++ b/tests/unit_on_paper.py
@@ -73,7 +73,7 @@
 )
 
 
-def read_back(record):
+def encode_and_validate(record):
     """Encode and decode a record, and assert that it is valid."""
     decoded = decode(encode(record), type(record))
     assert find_fault(decoded) == ''
@@ -94,7 +94,7 @@
 
 
 @attrs.define
-class PaperWorker:
+class SimulatedWorker:
     """Incarnation of a worker: its runs and the ended runs that it reports."""
 
     entry: WorkerEntry
@@ -115,7 +115,7 @@
 
 
 @attrs.define
-class PaperUnit:
+class SimulatedUnit:
     """Rows, workers and current owner of a unit."""
 
     now_ms: int = 100_000
@@ -127,7 +127,7 @@
     roster_version: int = 0
     model: ModelRecord | None = None
     account: AccountRecord | None = None
-    workers: dict[str, PaperWorker] = attrs.field(factory=dict)
+    workers: dict[str, SimulatedWorker] = attrs.field(factory=dict)
     incarnation_count: int = 0
     starts: list[fx.StartRun] = attrs.field(factory=list)
     commits: list[fx.CommitProgress] = attrs.field(factory=list)
@@ -149,7 +149,7 @@
             Resources(8000, 16_000),
             machine=address,
         )
-        self.workers[entry.worker_id] = PaperWorker(entry)
+        self.workers[entry.worker_id] = SimulatedWorker(entry)
         return entry
 
     def put(self, table, key, record):
@@ -170,7 +170,7 @@
         state.wall_offset_ms = WALL_MS - 100_000
         ownership = state.ownership
         ownership.phase = Phase.LOADING
-        ownership.epoch = read_back(EpochRecord(self.epoch, session))
+        ownership.epoch = encode_and_validate(EpochRecord(self.epoch, session))
         ownership.epoch_version = self.version
         ownership.taken_ms = ownership.renewed_ms = self.now_ms
         roster = self.roster
@@ -203,7 +203,7 @@
                     self.check_progress(write)
                 self.commits.append(effect)
             case fx.CommitRoster():
-                self.roster = read_back(effect.roster)
+                self.roster = encode_and_validate(effect.roster)
                 self.version += 1
                 self.roster_version = self.version
                 self.reduce(
@@ -215,15 +215,15 @@
                     )
                 )
             case fx.RenewLease():
-                read_back(effect.lease)
+                encode_and_validate(effect.lease)
                 self.state.ownership.is_renewing = False
             case fx.KeepModel():
-                self.model = read_back(effect.model)
+                self.model = encode_and_validate(effect.model)
                 self.reduce(ev.ModelKept(self.now_ms))
             case fx.PassTasks():
-                read_back(effect.record)
+                encode_and_validate(effect.record)
             case fx.FailJob():
-                read_back(FailRecord(effect.reason))
+                encode_and_validate(FailRecord(effect.reason))
             case fx.StartRun():
                 self.starts.append(effect)
             case fx.StopRun():
@@ -233,7 +233,7 @@
         self.kinds.add(type(effect).__name__)
 
     def check_progress(self, write):
-        record = read_back(write.record)
+        record = encode_and_validate(write.record)
         request = self.state.jobs[write.job_id].request
         assert find_progress_fault(record, request) == ''
 
@@ -245,7 +245,7 @@
 
     # -- steps --------------------------------------------------------------
 
-    def pass_time(self, ticks):
+    def advance_ticks(self, ticks):
         for _ in range(ticks):
             self.now_ms += TICK_MS
             self.state.ownership.renewed_ms = self.now_ms - 500
@@ -269,10 +269,10 @@
         job = self.state.jobs.get(key.job_id)
         return job is not None and job.request.steps[0].target_ms > 0
 
-    def go_on(self, rounds, tail_ms, used_millicores):
+    def run_rounds(self, rounds, tail_ms, used_millicores):
         """Let all start orders be carried out and all workers report."""
         for _ in range(rounds):
-            self.pass_time(6)
+            self.advance_ticks(6)
             while self.starts:
                 self.answer_start(OrderOutcome.STARTED)
             for number in range(len(self.workers)):
@@ -305,7 +305,7 @@
         if places:
             worker.end(places[which % len(places)], outcome)
 
-    def tell_odd_run(self, number, key, run):
+    def report_unknown_run(self, number, key, run):
         """Let a worker report a run that no owner has started."""
         self.pick(number).runs[key, run] = 1.0
 
@@ -342,14 +342,14 @@
     def submit(self, kind):
         job_id = f'{len(self.rows):016x}'
         wall_ms = self.now_ms + WALL_MS - 100_000
-        record = read_back(JobRecord(QUEUE, REQUESTS[kind], wall_ms))
+        record = encode_and_validate(JobRecord(QUEUE, REQUESTS[kind], wall_ms))
         self.deliver_job_rows(self.put('jobs0', job_id, record))
 
-    def pass_here(self, transfer_number, has_begun, has_crashed):
+    def transfer_task_here(self, transfer_number, has_begun, has_crashed):
         """Transfer a task of a service from another unit to this one."""
         job_id = f'{len(self.rows):016x}'
         crash = CrashRecord('w0', 'a:80', 'm', 7, 10, WALL_MS, True)
-        record = read_back(
+        record = encode_and_validate(
             GuestRecord(
                 QUEUE,
                 REQUESTS[1],
@@ -367,7 +367,9 @@
         if jobs:
             job_id = jobs[number % len(jobs)]
             self.deliver_job_rows(
-                self.put('jobs0', f'{job_id}{suffix}', read_back(record))
+                self.put(
+                    'jobs0', f'{job_id}{suffix}', encode_and_validate(record)
+                )
             )
 
     def cancel(self, number):
@@ -376,7 +378,7 @@
     def give_up(self, number):
         self.mark(number, FailRecord('crashed'), '/failed')
 
-    def see_rooms(self):
+    def receive_capacities(self):
         self.reduce(ev.RoomsSeen(self.now_ms, {1: OTHER_UNIT_CAPACITY}))
 
     # -- the next owner -----------------------------------------------------
@@ -394,15 +396,17 @@
             if isinstance(effect, fx.ReleaseLease)
         ]
         for effect in released:
-            read_back(effect.lease)
+            encode_and_validate(effect.lease)
             shell = types.SimpleNamespace(state=self.state)
             writes = trio.run(make_release_writes, effect, shell)
             kept = {write.table: write.value for write in writes}
             # Everything in the owner's state must be valid in the records.
-            self.account = read_back(
+            self.account = encode_and_validate(
                 decode(kept[ACCOUNTS_TABLE], AccountRecord)
             )
-            self.model = read_back(decode(kept[MODELS_TABLE], ModelRecord))
+            self.model = encode_and_validate(
+                decode(kept[MODELS_TABLE], ModelRecord)
+            )
             self.kinds.add('ReleaseLease')
         self.load()
 
