--- a/src/tulippin/jobs/_advising.py
+++ b/src/tulippin/jobs/_advising.py
@@ -28,7 +28,7 @@
 )
 from tulippin.jobs.state import SchedulerState, Worker
 
-ADVISING_EVENTS: t.Final = (ModelsSeen, RoomsSeen)
+ADVISORY_EVENTS: t.Final = (ModelsSeen, RoomsSeen)
 
 # How long advisory inputs are ignored after an error; doubled at each further
 # error up to the maximum, as the same input returns with the next report or
@@ -44,7 +44,7 @@
 
 
 @functools.singledispatch
-def hear(event: JobEvent, context: Context) -> None:
+def handle_advisory(event: JobEvent, context: Context) -> None:
     """Handle an advisory event, unless advisory inputs are paused."""
     if context.state.is_without_advice:
         return
@@ -54,12 +54,12 @@
         _reset_learning(error, 'advice dropped', event, context)
 
 
-@hear.register
+@handle_advisory.register
 def _handle_models(event: ModelsSeen, context: Context) -> None:
     """Handle other owners' models, except for rows that raise an error."""
     if context.state.is_without_advice:
         return
-    event = _exclude_rows(event, context.state.rows_aside)
+    event = _exclude_rows(event, context.state.excluded_rows)
     try:
         handle(event, context)
     except Exception as error:
@@ -70,7 +70,7 @@
         _reject_rows(error, failed, context)
         # Ends, as there are fewer rows each time. Rows that fail only in
         # combination are dropped as a whole.
-        hear(_exclude_rows(event, failed), context)
+        handle_advisory(_exclude_rows(event, failed), context)
 
 
 def _exclude_rows(event: ModelsSeen, names: t.Collection[str]) -> ModelsSeen:
@@ -102,9 +102,9 @@
 def _reject_rows(error: Exception, names: set[str], context: Context) -> None:
     """Ignore these versions of rows from now on, and report them."""
     state = context.state
-    if len(state.rows_aside) > _MAX_REJECTED_ROWS:
-        state.rows_aside.clear()
-    state.rows_aside.update(names)
+    if len(state.excluded_rows) > _MAX_REJECTED_ROWS:
+        state.excluded_rows.clear()
+    state.excluded_rows.update(names)
     state.count('advice_dropped')
     context.emit(TellFailure('advice dropped', error, tuple(sorted(names))))
 
@@ -137,14 +137,14 @@
 ) -> None:
     """Reset the learned state, report the error, and pause learning."""
     state = context.state
-    pause_ms = max(2 * state.advice_pause_ms, _FIRST_PAUSE_MS)
-    state.advice_pause_ms = min(pause_ms, _MAX_PAUSE_MS)
-    state.advice_after_ms = state.now_ms + state.advice_pause_ms
+    pause_ms = max(2 * state.advisory_pause_ms, _FIRST_PAUSE_MS)
+    state.advisory_pause_ms = min(pause_ms, _MAX_PAUSE_MS)
+    state.advisory_paused_until_ms = state.now_ms + state.advisory_pause_ms
     state.count(kind.replace(' ', '_'))
     _memory.forget(state)
     for worker in state.workers.values():
         worker.exposure = None
-        _interference.forget_view(worker)
+        _interference.invalidate_slack(worker)
     context.emit(TellFailure(kind, error, list_sources(event)))
 
 
@@ -154,12 +154,12 @@
     """Count a rejected sample, and log it unless one was just logged."""
     state = context.state
     state.count('samples_refused')
-    is_logged = worker.refused_ms is not None and (
-        state.now_ms - worker.refused_ms < _REJECTED_LOG_INTERVAL_MS
+    is_logged = worker.rejection_logged_ms is not None and (
+        state.now_ms - worker.rejection_logged_ms < _REJECTED_LOG_INTERVAL_MS
     )
     if is_logged:
         return
-    worker.refused_ms = state.now_ms
+    worker.rejection_logged_ms = state.now_ms
     context.log(
         'sample refused',
         worker=worker.worker_id,
--- a/src/tulippin/jobs/_availability.py
+++ b/src/tulippin/jobs/_availability.py
@@ -29,7 +29,7 @@
 _CONFIRMED_UNHEALTHY_MS: t.Final = 3500
 
 
-def may_end(attempt: Attempt, context: Context) -> bool:
+def may_end_run(attempt: Attempt, context: Context) -> bool:
     """Whether ending a run keeps its step within its limit.
 
     Parameters
@@ -68,7 +68,7 @@
     if worker.entry.draining:
         return True
     now_ms = context.state.now_ms
-    unhealthy_ms = now_ms - (worker.unwell_since_ms or now_ms)
+    unhealthy_ms = now_ms - (worker.unhealthy_since_ms or now_ms)
     is_alone = all(one.pace_percent == 0 for one in worker.fillers.values())
     return is_alone and unhealthy_ms >= _CONFIRMED_UNHEALTHY_MS
 
@@ -89,7 +89,7 @@
 def _is_serving(job: Job, key: TaskKey, context: Context) -> bool:
     """Whether a task is known to be serving in this unit."""
     task = job.tasks.get(key)
-    if task is None or not _lifecycle.is_here(job, key):
+    if task is None or not _lifecycle.is_assigned_here(job, key):
         return False
     return any(_is_run_serving(one, context) for one in task.attempts.values())
 
--- a/src/tulippin/jobs/_committing.py
+++ b/src/tulippin/jobs/_committing.py
@@ -69,7 +69,7 @@
     state.ownership.phase = Phase.ACTIVE
     state.roster_version = event.roster_version
     for entry in event.workers:
-        _workers.note_entry(entry, event.workers_read_ms, context)
+        _workers.apply_entry(entry, event.workers_read_ms, context)
     if event.roster is None:
         _unseen.begin_without_roster(context)
     else:
@@ -77,7 +77,9 @@
         _unseen.begin(event.account, context)
     _advising.restore(event, context)
     jobs = _lifecycle.add_rows(event.jobs, context)
-    state.unread_jobs.update(_lifecycle.list_unreadable_jobs(event.jobs, state))
+    state.unreadable_jobs.update(
+        _lifecycle.list_unreadable_jobs(event.jobs, state)
+    )
     _restore(jobs, event.progress, context)
     _unseen.record_reported_tasks(event.account, context)
     _open_loaded_jobs(jobs, event, context)
@@ -107,13 +109,13 @@
         # no worker reports may still run. Jobs that were accepted after the
         # takeover can't have been started by an earlier owner.
         is_new = job.row_version > state.ownership.epoch_version
-        job.awaits_workers = job.is_guest or not is_new
-        if is_new and not job.is_guest:
-            job.knows_places = True
+        job.awaits_confirmation = job.is_transferred or not is_new
+        if is_new and not job.is_transferred:
+            job.are_assignments_known = True
         elif job.durable is None or event.roster is None:
             # Without a roster, the end of unconfirmed runs isn't known for
             # workers that aren't listed.
-            job.knows_places = False
+            job.are_assignments_known = False
         job.is_resumed = job.has_begun
         _open_job(job, context)
     _demand.take_over(state)
@@ -162,7 +164,7 @@
     _withhold_unreadable(added, context)
     _restore(added, event.progress, context)
     if added:
-        state.arrived_ms = state.now_ms
+        state.last_arrival_ms = state.now_ms
     for job in added:
         context.log(
             'job taken up',
@@ -171,7 +173,7 @@
             steps=[_describe_step(step) for step in job.request.steps],
             version=job.row_version,
         )
-        _reports.adopt_strays(job, context)
+        _reports.adopt_orphaned_runs(job, context)
         _open_job(job, context)
     for row in event.rows:
         job_id = row.key.partition('/')[0]
@@ -191,7 +193,7 @@
     stored was not loaded.
     """
     for job in jobs:
-        if job.job_id in context.state.unread_jobs:
+        if job.job_id in context.state.unreadable_jobs:
             _lifecycle.withhold(job, context, 'its row was unreadable')
 
 
@@ -269,7 +271,7 @@
         del state.dirty_jobs[job_id]
         record = _lifecycle.make_progress(job)
         if record != job.durable:
-            job.committing = record
+            job.pending_progress = record
             writes.append(ProgressWrite(job_id, record, job.progress_version))
     ends = {}
     if not state.dirty_jobs:
@@ -286,9 +288,9 @@
 
 def _collect_ends(state: SchedulerState) -> dict[str, int]:
     return {
-        worker.worker_id: worker.ends_read
+        worker.worker_id: worker.last_read_end_number
         for worker in state.workers.values()
-        if worker.ends_read > worker.last_seen
+        if worker.last_read_end_number > worker.last_seen
     }
 
 
@@ -302,9 +304,9 @@
         worker = state.workers.get(worker_id)
         if worker is not None and number > worker.last_seen:
             worker.last_seen = number
-            worker.unsettled = {
+            worker.uncommitted_ends = {
                 end_number: key
-                for end_number, key in worker.unsettled.items()
+                for end_number, key in worker.uncommitted_ends.items()
                 if end_number > number
             }
             worker.needs_ack = True
@@ -327,7 +329,7 @@
         if job is not None:
             job.progress_version = event.version
             job.durable = write.record
-            job.committing = None
+            job.pending_progress = None
             state.is_placing_due = True
             state.is_sending_due = True
             _passing.send(job, context)
@@ -398,10 +400,10 @@
 def _remove_finished_jobs(context: Context) -> None:
     """Remove jobs that finished longer ago than the retention time."""
     state = context.state
-    if state.now_ms - state.swept_ms < _REMOVAL_INTERVAL_MS:
+    if state.now_ms - state.last_sweep_ms < _REMOVAL_INTERVAL_MS:
         return
-    state.swept_ms = state.now_ms
-    limit_ms = state.now_ms - state.config.finished_kept_ms
+    state.last_sweep_ms = state.now_ms
+    limit_ms = state.now_ms - state.config.finished_retention_ms
     old = [
         job.job_id
         for job in state.jobs.values()
@@ -413,7 +415,7 @@
     if not old or state.is_committing:
         return
     transferred = frozenset(
-        job_id for job_id in old if state.jobs[job_id].is_guest
+        job_id for job_id in old if state.jobs[job_id].is_transferred
     )
     for job_id in old:
         del state.jobs[job_id]
--- a/src/tulippin/jobs/_crashes.py
+++ b/src/tulippin/jobs/_crashes.py
@@ -73,7 +73,7 @@
     _record_crashes(worker, context, is_sure=False)
 
 
-def note_end_of_life(worker: Worker, context: Context) -> None:
+def note_worker_crash(worker: Worker, context: Context) -> None:
     """Count the crash of a worker whose next incarnation was seen."""
     state = context.state
     if worker.leaves_at_ms:
@@ -81,7 +81,7 @@
         _remove_crashes(worker.worker_id, context)
         return
     if not worker.is_reconciled:
-        state.lost_unread[worker.worker_id] = True
+        state.lost_unconfirmed_workers[worker.worker_id] = True
     _record_crashes(worker, context, is_sure=True)
     for job, task in list_suspects(state):
         record = task.crashes.get(worker.worker_id)
@@ -114,7 +114,7 @@
         for attempt in worker.attempts.values()
         if attempt.is_ordered and _trials.is_recent(attempt, worker)
     ]
-    if _trials.has_trials(worker):
+    if _trials.has_probation(worker):
         suspected = [
             attempt
             for attempt in suspected
@@ -228,11 +228,11 @@
     if found is None:
         return
     job, task = found
-    task.open_start = None
+    task.unresolved_start = None
     age_ms = context.state.now_ms - attempt.sent_ms
-    if attempt.is_proved or age_ms < _trials.MAX_SUSPECT_AGE_MS:
+    if attempt.has_passed_probation or age_ms < _trials.MAX_SUSPECT_AGE_MS:
         return
-    attempt.is_proved = True
+    attempt.has_passed_probation = True
     task.crashes.clear()
     _lifecycle.mark_dirty(job, context.state)
 
@@ -260,7 +260,7 @@
     It may not while it may have an unconfirmed run, or while its crashes
     require it to wait.
     """
-    if _unseen.is_awaited(task, state):
+    if _unseen.has_unconfirmed_run(task, state):
         return False
     return not _must_wait(job, task, state)
 
@@ -272,9 +272,9 @@
     abandon the job if all of them are confirmed. It also waits while another
     task of the job is the more likely cause, as the job may be abandoned.
     """
-    if task.open_start is not None:
+    if task.unresolved_start is not None:
         _resolve_open_start(job, task, state)
-    if task.open_start is not None:
+    if task.unresolved_start is not None:
         return True
     if not _are_lost_starts_durable(job, task):
         return True
@@ -294,13 +294,13 @@
 
     Counts a crash if the worker was lost before it reported its runs.
     """
-    run, worker_id = t.cast(tuple[int, str], task.open_start)
+    run, worker_id = t.cast(tuple[int, str], task.unresolved_start)
     worker = state.workers.get(worker_id)
     if worker is not None and not _unseen.are_runs_confirmed(worker, state):
         return
-    task.open_start = None
+    task.unresolved_start = None
     is_lapsed = worker is not None and not worker.is_reconciled
-    if worker_id not in state.lost_unread and not is_lapsed:
+    if worker_id not in state.lost_unconfirmed_workers and not is_lapsed:
         # The worker reported all of its runs, or an earlier owner saw it
         # leave.
         return
@@ -318,7 +318,7 @@
         run,
         _trials.EARLY_CRASH_MS,
         get_wall_ms(state),
-        state.lost_unread.get(worker_id, False),
+        state.lost_unconfirmed_workers.get(worker_id, False),
         # Only the start was recorded for the next owner.
         is_seen=True,
         is_age_known=False,
@@ -326,7 +326,7 @@
     _add_crash(job, task, record, state)
 
 
-def doubt(jobs: t.Iterable[Job], state: SchedulerState) -> None:
+def count_lost_starts(jobs: t.Iterable[Job], state: SchedulerState) -> None:
     """Count a possible lost start for jobs that may have crashed a worker.
 
     No row records what an earlier owner started in its last moments, or while
@@ -345,7 +345,7 @@
         return
     affected_ids = {
         kind[0]: None
-        for queue in (state.ready, state.ready_idle)
+        for queue in (state.ready, state.ready_opportunistic)
         for kind, tasks in queue.items()
         if kind[0] in job_ids
         and any(
@@ -361,12 +361,12 @@
 
 def _is_any_worker_lost(state: SchedulerState) -> bool:
     """Whether a worker that might run any task has crashed or lapsed."""
-    for worker_id in state.lost_unread:
+    for worker_id in state.lost_unconfirmed_workers:
         worker = state.workers.get(worker_id)
-        if worker is None or worker.may_run_anything:
+        if worker is None or worker.may_run_any_task:
             return True
     return any(
-        worker.may_run_anything and not worker.is_reconciled
+        worker.may_run_any_task and not worker.is_reconciled
         for worker in state.workers.values()
     )
 
@@ -377,7 +377,7 @@
     Starts of long-running and of suspected tasks are durable before their
     order is sent.
     """
-    if task.open_start is not None:
+    if task.unresolved_start is not None:
         _resolve_open_start(job, task, state)
     return _is_short(job, task) and not task.crashes
 
@@ -466,7 +466,7 @@
 # -- orders that wait for a commit --------------------------------------------
 
 
-def take_durable(context: Context) -> list[Attempt]:
+def take_sendable_attempts(context: Context) -> list[Attempt]:
     """Return the runs whose orders may be sent now, and mark them as sent.
 
     The next owner has to know each start of a suspected task, as a crash that
@@ -477,7 +477,7 @@
     state = context.state
     due = []
     waiting = []
-    for attempt in state.unsent:
+    for attempt in state.unsent_starts:
         if attempt.state is not AttemptState.STARTING:
             continue
         worker = state.workers.get(attempt.worker_id)
@@ -487,7 +487,7 @@
         # An order to a worker that has gone silent would count as a crash.
         is_due = not worker.failed_count and _may_send(attempt, worker, state)
         (due if is_due else waiting).append(attempt)
-    state.unsent = waiting
+    state.unsent_starts = waiting
     for attempt in due:
         attempt.is_ordered = True
         attempt.sent_ms = state.now_ms
@@ -497,12 +497,12 @@
 def _may_send(attempt: Attempt, worker: Worker, state: SchedulerState) -> bool:
     """Whether the records that the order of a run depends on are durable."""
     job = state.jobs.get(attempt.key.job_id)
-    is_assignment_stored = job is not None and _lifecycle.is_place_durable(
+    is_assignment_stored = job is not None and _lifecycle.is_assignment_durable(
         job, attempt.key, worker.worker_id
     )
     if attempt.step.long_running and not is_assignment_stored:
         return False
-    is_suspected = (attempt.key, attempt.run) in worker.trials
+    is_suspected = (attempt.key, attempt.run) in worker.probation_runs
     return not is_suspected or _is_start_durable(attempt, state)
 
 
--- a/src/tulippin/jobs/_draining.py
+++ b/src/tulippin/jobs/_draining.py
@@ -43,10 +43,10 @@
 def tick(context: Context) -> None:
     """Stop long-running tasks on draining workers, a few at a time."""
     state = context.state
-    is_due = state.now_ms - state.drained_ms >= _DRAIN_INTERVAL_MS
-    if not (context.may_order and is_due):
+    is_due = state.now_ms - state.drain_checked_ms >= _DRAIN_INTERVAL_MS
+    if not (context.may_send_orders and is_due):
         return
-    state.drained_ms = state.now_ms
+    state.drain_checked_ms = state.now_ms
     leaving = [
         worker
         for worker in state.workers.values()
@@ -83,9 +83,12 @@
 ) -> None:
     """Log why tasks remain on draining workers, once a second."""
     state = context.state
-    if not obstacles or state.now_ms - state.kept_told_ms < _LOG_INTERVAL_MS:
+    if (
+        not obstacles
+        or state.now_ms - state.obstacles_logged_ms < _LOG_INTERVAL_MS
+    ):
         return
-    state.kept_told_ms = state.now_ms
+    state.obstacles_logged_ms = state.now_ms
     first = leaving[0]
     context.log(
         'tasks stay on leaving workers',
@@ -115,10 +118,10 @@
 def _waits_for_capacity(job: Job, task: Task, state: SchedulerState) -> bool:
     """Whether a task was stopped recently and waits only for capacity."""
     is_recent = task.ready_ms > state.now_ms - _FINAL_STOP_MS
-    if not (is_recent and _ready.is_back(job, task)):
+    if not (is_recent and _ready.ran_before(job, task)):
         return False
     step = job.request.steps[task.key.step]
-    is_withheld = _unseen.holds_back(job, step)
+    is_withheld = _unseen.must_await_workers(job, step)
     return not is_withheld and _crashes.may_start(job, task, state)
 
 
@@ -128,13 +131,13 @@
     A task without standby workers may still be started by another unit.
     """
     found = _attempts.find_task(attempt.key, context)
-    if found is None or not found[1].spares:
+    if found is None or not found[1].standby_workers:
         return True
     return _spares.is_prepared(*found)
 
 
 def _fits_elsewhere(attempt: Attempt, context: Context) -> bool:
     """Whether another worker, here or in another unit, has capacity."""
-    if _scoring.fits_elsewhere(attempt, context):
+    if _scoring.has_other_worker(attempt, context):
         return True
     return _passing.has_unit_for(attempt.step, context.state)
--- a/src/tulippin/jobs/_feasibility.py
+++ b/src/tulippin/jobs/_feasibility.py
@@ -37,10 +37,10 @@
     tasks if it is too large even for an empty worker otherwise: it could never
     start, and urgent tasks can preempt it.
     """
-    if not worker.has_room(step.reserved):
+    if not worker.has_capacity(step.reserved):
         return False
     if step.opportunistic:
-        are_tails_known = not is_unheard(worker, state)
+        are_tails_known = not has_stale_tails(worker, state)
         may_use_kept_memory = has_waited and _exceeds_empty_worker(worker, step)
         if not (are_tails_known and _fits_idle_processors(worker, step)):
             return False
@@ -62,9 +62,9 @@
         return False
     if job.queue.advised and not _advice.get_ticket(worker, job, task, state):
         return False
-    return _is_below_worker_limit(worker, task, step) and _trials.may_join(
-        worker, task, state
-    )
+    return _is_below_worker_limit(
+        worker, task, step
+    ) and _trials.may_start_beside(worker, task, state)
 
 
 def accepts_runs(worker: Worker, state: SchedulerState) -> bool:
@@ -95,11 +95,12 @@
     current_configuration = state.configuration
     if (
         current_configuration is None
-        or worker.entry.service in current_configuration.guarded_services
+        or worker.entry.service
+        in current_configuration.capacity_enforcing_services
     ):
         return True
-    is_recent = state.now_ms - worker.entry_ms <= _MAX_ENTRY_AGE_MS
-    return is_recent and not worker.strays
+    is_recent = state.now_ms - worker.entry_read_ms <= _MAX_ENTRY_AGE_MS
+    return is_recent and not worker.orphaned_runs
 
 
 def list_available(state: SchedulerState) -> list[Worker]:
@@ -107,7 +108,7 @@
     return [one for one in state.workers.values() if accepts_runs(one, state)]
 
 
-def is_unheard(worker: Worker, state: SchedulerState) -> bool:
+def has_stale_tails(worker: Worker, state: SchedulerState) -> bool:
     """Whether a worker serves tasks whose latency tails are out of date."""
     is_old = state.now_ms - worker.answered_ms > _MAX_REPORT_AGE_MS
     return is_old and bool(worker.serving)
--- a/src/tulippin/jobs/_giving_up.py
+++ b/src/tulippin/jobs/_giving_up.py
@@ -27,10 +27,10 @@
 def tick(context: Context) -> None:
     """Confirm suspected crashes, and abandon jobs with too many crashes."""
     state = context.state
-    is_due = state.now_ms - state.crashes_looked_ms >= _CHECK_INTERVAL_MS
-    if not (is_due and state.suspects and context.may_order):
+    is_due = state.now_ms - state.crashes_checked_ms >= _CHECK_INTERVAL_MS
+    if not (is_due and state.suspects and context.may_send_orders):
         return
-    state.crashes_looked_ms = state.now_ms
+    state.crashes_checked_ms = state.now_ms
     for job, task in _crashes.list_suspects(state):
         _confirm_crashes(job, task, context)
         confirmed = [crash for crash in task.list_crashes() if crash.is_sure]
@@ -58,7 +58,7 @@
     """Whether another incarnation of the crashed worker has answered."""
     return any(
         worker.answered_ms
-        and not worker.is_over
+        and not worker.is_superseded
         and worker.worker_id != record.worker_id
         and (
             worker.entry.address == record.address
--- a/src/tulippin/jobs/_memory.py
+++ b/src/tulippin/jobs/_memory.py
@@ -23,7 +23,7 @@
 from tulippin.jobs.pair_model import ImageModel, PairModel
 from tulippin.jobs.records import ModelRecord, PairRecord, SwingRecord
 from tulippin.jobs.state import Phase, SchedulerState
-from tulippin.jobs.swings import SwingModel, Wave
+from tulippin.jobs.swings import LoadCycleModel, Wave
 from tulippin.logs import logger
 
 _SAVE_INTERVAL_MS: t.Final = 2000
@@ -128,7 +128,7 @@
 def forget(state: SchedulerState) -> None:
     """Reset the learned state to the priors."""
     state.model = PairModel()
-    state.swings = SwingModel()
+    state.swings = LoadCycleModel()
     state.lowest_tails_ms = {}
     state.run_times_ms = {}
     state.tails.clear()
@@ -138,7 +138,7 @@
 def _handle_models(event: ModelsSeen, context: Context) -> None:
     """Apply the persisted models of other units' owners."""
     state = context.state
-    state.model.hear(
+    state.model.update_peers(
         {image: _restore_pair(pair) for image, pair in record.pairs.items()}
         for record in event.models
     )
@@ -155,12 +155,12 @@
     state = context.state
     if state.ownership.phase is not Phase.ACTIVE or state.is_model_committing:
         return
-    if state.now_ms - state.model_kept_ms < _SAVE_INTERVAL_MS:
+    if state.now_ms - state.model_persisted_ms < _SAVE_INTERVAL_MS:
         return
-    state.model_kept_ms = state.now_ms
+    state.model_persisted_ms = state.now_ms
     samples = state.model.count_samples()
-    if samples == state.samples_kept:
+    if samples == state.persisted_sample_count:
         return
-    state.samples_kept = samples
+    state.persisted_sample_count = samples
     state.is_model_committing = True
     context.emit(KeepModel(make_record(state), state.ownership.epoch_version))
--- a/src/tulippin/jobs/_passing.py
+++ b/src/tulippin/jobs/_passing.py
@@ -23,15 +23,15 @@
 from tulippin.jobs._dispatch import Context, handle
 from tulippin.jobs.effects import PassTasks
 from tulippin.jobs.events import RoomsSeen
-from tulippin.jobs.records import CrashRecord, GuestRecord, UnitRoom
+from tulippin.jobs.records import CrashRecord, GuestRecord, UnitCapacity
 from tulippin.jobs.state import (
     RUNS_PER_EPOCH,
     Job,
-    PassedTask,
     SchedulerState,
     Task,
+    TransferredTask,
 )
-from tulippin.jobs.types import Step, TaskKey, parse_task
+from tulippin.jobs.types import Step, TaskKey, parse_task_key
 
 # A task is transferred after waiting for this long: a worker that ends a run
 # or joins is known within a second.
@@ -51,16 +51,21 @@
 @handle.register
 def _update_rooms(event: RoomsSeen, context: Context) -> None:
     """Replace the known capacities of the other units."""
-    context.state.rooms = dict(event.rooms)
+    context.state.unit_capacities = dict(event.unit_capacities)
 
 
 def tick(context: Context) -> None:
     """Transfer long-running tasks that wait while other units have capacity."""
     state = context.state
-    is_due = state.now_ms - state.passing_ms >= _TRANSFER_INTERVAL_MS
-    if not (context.may_order and is_due and state.rooms and state.ready):
+    is_due = state.now_ms - state.transfers_checked_ms >= _TRANSFER_INTERVAL_MS
+    if not (
+        context.may_send_orders
+        and is_due
+        and state.unit_capacities
+        and state.ready
+    ):
         return
-    state.passing_ms = state.now_ms
+    state.transfers_checked_ms = state.now_ms
     _rebalance(context)
     budget = _MAX_TRANSFERS_PER_TICK
     refused_groups: set[tuple[_ready.StepKey, bool, bool]] = set()
@@ -68,7 +73,7 @@
         # If no unit fits a task, none fits others with the same properties.
         task_group = (
             _ready.get_step_key(task.key),
-            _ready.is_back(job, task),
+            _ready.ran_before(job, task),
             _is_late(job, task, state),
         )
         if task_group in refused_groups or task.attempts:
@@ -115,30 +120,32 @@
     """Whether the tasks of a step may be transferred."""
     if not step.long_running or step.gang:
         return False
-    return not _unseen.holds_back(job, step)
+    return not _unseen.must_await_workers(job, step)
 
 
 def _try_transfer(job: Job, step: Step, task: Task, context: Context) -> bool:
     """Transfer a task if a unit fits it; return whether one did."""
     state = context.state
-    is_back = _ready.is_back(job, task)
+    ran_before = _ready.ran_before(job, task)
     is_late = _is_late(job, task, state)
-    unit = _choose_unit(step, state, is_late=is_late, is_new=not is_back)
+    unit = _choose_unit(step, state, is_late=is_late, is_new=not ran_before)
     if unit is None:
         return False
     _transfer(job, step, task, unit, context)
     if is_late:
         # Counts the capacity as used until the next row of the unit.
-        room = state.rooms[unit]
+        room = state.unit_capacities[unit]
         largest_free = room.largest_free.subtract(step.reserved)
-        state.rooms[unit] = attrs.evolve(room, largest_free=largest_free)
+        state.unit_capacities[unit] = attrs.evolve(
+            room, largest_free=largest_free
+        )
     return True
 
 
 def _is_late(job: Job, task: Task, state: SchedulerState) -> bool:
     """Whether a task that ran before has waited for long."""
     waited_ms = state.now_ms - task.ready_ms
-    return waited_ms >= _LATE_AFTER_MS and _ready.is_back(job, task)
+    return waited_ms >= _LATE_AFTER_MS and _ready.ran_before(job, task)
 
 
 def _transfer(
@@ -151,16 +158,18 @@
     )
     # Runs are numbered by epoch, so numbers of the next epoch are above all
     # runs of this unit.
-    least_run = task.least_run + (context.fencing_token + 1) * RUNS_PER_EPOCH
-    job.passed[task.key] = PassedTask(unit, number, least_run)
+    run_floor = task.run_floor + (context.fencing_token + 1) * RUNS_PER_EPOCH
+    job.passed[task.key] = TransferredTask(unit, number, run_floor)
     _ready.remove(task.key, step, state)
-    if not _lifecycle.is_here(job, _lifecycle.get_first_task(job)):
+    if not _lifecycle.is_assigned_here(job, _lifecycle.get_counted_task(job)):
         # From here on the other unit reports whether the job has begun.
-        _lifecycle.mark_begun(job, state)
+        _lifecycle.mark_running(job, state)
     _lifecycle.mark_dirty(job, state)
-    room = state.rooms[unit]
+    room = state.unit_capacities[unit]
     reserved = room.reserved_millicores + step.size.cpu_millicores
-    state.rooms[unit] = attrs.evolve(room, reserved_millicores=reserved)
+    state.unit_capacities[unit] = attrs.evolve(
+        room, reserved_millicores=reserved
+    )
     state.count('tasks_passed')
     context.log(
         'pass task',
@@ -175,8 +184,8 @@
 
 def _has_run(job: Job, name: str) -> bool:
     """Whether a task, by its name within the job, ran before."""
-    key = parse_task(f'{job.job_id}.{name}')
-    return _ready.is_back(job, _lifecycle.get_task(job, key))
+    key = parse_task_key(f'{job.job_id}.{name}')
+    return _ready.ran_before(job, _lifecycle.get_task(job, key))
 
 
 def _list_crashes(
@@ -185,7 +194,7 @@
     """Return the crash records of tasks, for the unit that receives them."""
     found = {}
     for name in names:
-        task = job.tasks.get(parse_task(f'{job.job_id}.{name}'))
+        task = job.tasks.get(parse_task_key(f'{job.job_id}.{name}'))
         if task is not None and task.crashes:
             found[name] = task.list_crashes()
     return found
@@ -194,7 +203,7 @@
 def _get_last_transfer(job: Job, key: TaskKey) -> int:
     """Return the number of a task's last transfer from here, or 0."""
     passed = job.passed.get(key)
-    return passed.pass_number if passed else 0
+    return passed.transfer_number if passed else 0
 
 
 def has_unit_for(step: Step, state: SchedulerState) -> bool:
@@ -216,19 +225,19 @@
     """
     fitting = [
         (_get_load(room), number)
-        for number, room in state.rooms.items()
-        if _rooms.has_place(room, step, is_new=is_new)
+        for number, room in state.unit_capacities.items()
+        if _rooms.fits_in_unit(room, step, is_new=is_new)
         and (is_late or _accepts_transfers(room))
     ]
     return min(fitting)[1] if fitting else None
 
 
-def _accepts_transfers(room: UnitRoom) -> bool:
+def _accepts_transfers(room: UnitCapacity) -> bool:
     """Whether the load of a unit is low enough for transfers."""
     return _get_load(room) < _MAX_TARGET_LOAD
 
 
-def _get_load(room: UnitRoom) -> float:
+def _get_load(room: UnitCapacity) -> float:
     """Return the reserved share of a unit's processors."""
     return room.reserved_millicores / max(1, room.capacity_millicores)
 
@@ -238,8 +247,8 @@
     if job.durable is None or not job.durable.passed:
         return
     by_unit: dict[int, dict[str, tuple[int, int]]] = {}
-    for name, (unit, number, least_run) in job.durable.passed.items():
-        by_unit.setdefault(unit, {})[name] = number, least_run
+    for name, (unit, number, run_floor) in job.durable.passed.items():
+        by_unit.setdefault(unit, {})[name] = number, run_floor
     for unit, tasks in by_unit.items():
         record = GuestRecord(
             job.queue,
--- a/src/tulippin/jobs/_placing.py
+++ b/src/tulippin/jobs/_placing.py
@@ -48,7 +48,7 @@
 # capacity under overload: urgent work earned 0.08 to 0.32 of its value instead
 # of 0.31 to 0.41.
 _OVERDUE_INTERVAL_MS: t.Final = 300
-_OVERDUE_TRIES: t.Final = 8
+_MAX_OVERDUE_STEPS: t.Final = 8
 # Interval between two scans for jobs that have had nothing running for long.
 _SLOW_START_INTERVAL_MS: t.Final = 200
 # Interval between two passes over the opportunistic tasks.
@@ -73,9 +73,9 @@
         Whether the call comes from the periodic tick.
     """
     state = context.state
-    if not (context.may_order and _ownership.may_prolong(state)):
+    if not (context.may_send_orders and _ownership.may_extend_leases(state)):
         return
-    _crashes.doubt(_unseen.note_settled(state), state)
+    _crashes.count_lost_starts(_unseen.end_worker_wait(state), state)
     if is_tick or state.is_sending_due:
         state.is_sending_due = False
         _starting.send_durable(context)
@@ -84,10 +84,12 @@
         state.is_placing_due = False
         state.placed_ms = state.now_ms
         _PlacementPass(context, state.ready).run()
-    is_due = state.now_ms - state.idle_placed_ms >= _IDLE_PASS_INTERVAL_MS
-    if is_tick and is_due and state.ready_idle:
-        state.idle_placed_ms = state.now_ms
-        _PlacementPass(context, state.ready_idle).run()
+    is_due = (
+        state.now_ms - state.opportunistic_placed_ms >= _IDLE_PASS_INTERVAL_MS
+    )
+    if is_tick and is_due and state.ready_opportunistic:
+        state.opportunistic_placed_ms = state.now_ms
+        _PlacementPass(context, state.ready_opportunistic).run()
 
 
 @attrs.define
@@ -120,14 +122,16 @@
         if self.queue is state.ready:
             self._place_overdue()
         self._place_ranked()
-        if self.queue is state.ready_idle:
+        if self.queue is state.ready_opportunistic:
             self._place_slow_starts()
 
     def _place_ranked(self) -> None:
         state = self.context.state
         for step_key in _ranking.sort_steps(self.queue, state):
             job = state.jobs[step_key[0]]
-            if not _unseen.holds_back(job, job.request.steps[step_key[2]]):
+            if not _unseen.must_await_workers(
+                job, job.request.steps[step_key[2]]
+            ):
                 self._place_step(job, step_key)
             if self.budget <= 0:
                 state.is_placing_due = True
@@ -136,11 +140,14 @@
     def _place_slow_starts(self) -> None:
         """Start a run at a low pace for jobs that have had none for long."""
         state = self.context.state
-        if state.now_ms - state.slow_placed_ms < _SLOW_START_INTERVAL_MS:
+        if (
+            state.now_ms - state.slow_starts_checked_ms
+            < _SLOW_START_INTERVAL_MS
+        ):
             return
-        state.slow_placed_ms = state.now_ms
+        state.slow_starts_checked_ms = state.now_ms
         waiting = _slow_start.list_waiting(state)
-        for job, task in _slow_start.take_turn(waiting, state):
+        for job, task in _slow_start.select_round(waiting, state):
             step = job.request.steps[task.key.step]
             if _ready.has_runs(job) and not step.long_running:
                 # Another step of the job was started in this scan.
@@ -156,16 +163,16 @@
         always waiting they take all capacity that becomes free.
         """
         state = self.context.state
-        if state.now_ms - state.overdue_ms < _OVERDUE_INTERVAL_MS:
+        if state.now_ms - state.overdue_started_ms < _OVERDUE_INTERVAL_MS:
             return
         tried_steps: set[_ready.StepKey] = set()
         for job, task in _ready.list_overdue(state):
-            if len(tried_steps) >= _OVERDUE_TRIES:
+            if len(tried_steps) >= _MAX_OVERDUE_STEPS:
                 return
             step = job.request.steps[task.key.step]
-            is_withheld = _unseen.holds_back(job, step)
+            is_withheld = _unseen.must_await_workers(job, step)
             if not is_withheld and self._start_overdue(job, task, tried_steps):
-                state.overdue_ms = state.now_ms
+                state.overdue_started_ms = state.now_ms
                 return
 
     def _start_overdue(
@@ -214,7 +221,7 @@
         if step.long_running:
             # Tasks that ran before don't have to leave headroom; try them
             # first.
-            tasks.sort(key=lambda task: not _ready.is_back(job, task))
+            tasks.sort(key=lambda task: not _ready.ran_before(job, task))
         if step.gang:
             self.budget -= _place_gang(job, step, tasks, self.context)
             return
@@ -285,7 +292,7 @@
         state = self.context.state
         if not job.request.steps[step_key[2]].long_running:
             return False
-        if state.now_ms - job.known_ms < _GATHER_DELAY_MS:
+        if state.now_ms - job.first_seen_ms < _GATHER_DELAY_MS:
             return True
         if self.rebalancing_steps is None:
             self.rebalancing_steps = _evening.list_held_steps(state)
@@ -329,8 +336,8 @@
         attempt = _starting.add_run(job, step, task, worker, self.context)
         if pace_percent is not None:
             attempt.is_slow_start = True
-            attempt.wanted_percent = pace_percent
-            _interference.forget_view(worker)
+            attempt.target_pace_percent = pace_percent
+            _interference.invalidate_slack(worker)
         _starting.send(attempt, job, self.context)
         self.budget -= 1
 
--- a/src/tulippin/jobs/_ranking.py
+++ b/src/tulippin/jobs/_ranking.py
@@ -112,7 +112,7 @@
     """
     step = job.request.steps[step_key[2]]
     if step.long_running:
-        batch = job.known_ms // _BATCH_WINDOW_MS
+        batch = job.first_seen_ms // _BATCH_WINDOW_MS
         order = (
             -demand[step.image],
             step.image,
@@ -129,7 +129,9 @@
     )
 
 
-def get_hope(job: Job, step_key: StepKey, state: SchedulerState) -> Lateness:
+def get_lateness(
+    job: Job, step_key: StepKey, state: SchedulerState
+) -> Lateness:
     """Return the best outcome that a job can still reach."""
     return _estimate_lateness(job, step_key, state)[0]
 
--- a/src/tulippin/jobs/_refusals.py
+++ b/src/tulippin/jobs/_refusals.py
@@ -38,28 +38,30 @@
 _MIN_SLACK: t.Final = 0.02
 
 
-def tell(context: Context) -> None:
+def log_waits(context: Context) -> None:
     """Write the log lines, once a second while any task waits."""
     state = context.state
-    is_waiting = bool(state.ready_idle or state.ready or state.unsent)
-    if not (context.may_order and is_waiting):
+    is_waiting = bool(
+        state.ready_opportunistic or state.ready or state.unsent_starts
+    )
+    if not (context.may_send_orders and is_waiting):
         return
-    if state.now_ms - state.refusals_told_ms < _LOG_INTERVAL_MS:
+    if state.now_ms - state.waits_logged_ms < _LOG_INTERVAL_MS:
         return
-    state.refusals_told_ms = state.now_ms
+    state.waits_logged_ms = state.now_ms
     _log_observation(context)
     _log_unsent(context)
     _log_long_running(context)
     _log_reserving(context)
     _log_division(context)
-    if state.ready_idle:
+    if state.ready_opportunistic:
         _log_opportunistic(context)
 
 
 def _log_observation(context: Context) -> None:
     """Log the observation with the largest slowdown since the last line."""
-    observation = context.state.lesson
-    context.state.lesson = None
+    observation = context.state.largest_observation
+    context.state.largest_observation = None
     if observation is not None and observation.slowdown >= _MIN_LOGGED_SLOWDOWN:
         context.log('slowdown learned', **attrs.asdict(observation))
 
@@ -68,7 +70,7 @@
     """Log orders that have waited for a second until they are durable."""
     state = context.state
     limit_ms = state.now_ms - _LOG_INTERVAL_MS
-    waiting = [one for one in state.unsent if one.sent_ms <= limit_ms]
+    waiting = [one for one in state.unsent_starts if one.sent_ms <= limit_ms]
     if not waiting:
         return
     oldest = min(waiting, key=operator.attrgetter('sent_ms'))
@@ -90,8 +92,8 @@
     unconfirmed = [
         task
         for job, task in waiting
-        if _unseen.holds_back(job, job.request.steps[task.key.step])
-        or _unseen.is_awaited(task, state)
+        if _unseen.must_await_workers(job, job.request.steps[task.key.step])
+        or _unseen.has_unconfirmed_run(task, state)
     ]
     oldest = min((task for _, task in waiting), key=lambda task: task.ready_ms)
     context.log(
@@ -100,8 +102,10 @@
         no_place=len(waiting) - len(unconfirmed),
         oldest=oldest.key.format(),
         waited_ms=state.now_ms - oldest.ready_ms,
-        silent_workers=_unseen.list_awaited(state)[:_MAX_LOGGED_WORKERS],
-        awaited_ms=_unseen.get_awaited_ms(state),
+        silent_workers=_unseen.list_unconfirmed_workers(state)[
+            :_MAX_LOGGED_WORKERS
+        ],
+        awaited_ms=_unseen.get_unconfirmed_ms(state),
     )
 
 
@@ -135,7 +139,7 @@
 ) -> dict[str, int]:
     """Return how many tasks wait, by whether their job can meet its target."""
     counts = collections.Counter(
-        _ranking.get_hope(job, _ready.get_step_key(task.key), state).name
+        _ranking.get_lateness(job, _ready.get_step_key(task.key), state).name
         for job, task in waiting
     )
     return {name.lower(): count for name, count in counts.items()}
@@ -144,8 +148,8 @@
 def _count_units_with_capacity(step: Step, state: SchedulerState) -> int:
     """Return how many other units report a worker that fits a task."""
     return sum(
-        _rooms.has_place(room, step, is_new=False)
-        for room in state.rooms.values()
+        _rooms.fits_in_unit(room, step, is_new=False)
+        for room in state.unit_capacities.values()
     )
 
 
@@ -181,7 +185,7 @@
     state = context.state
     waiting: dict[str, int] = {}
     smallest: dict[str, tuple[Job, Step, Task]] = {}
-    for kind, tasks in state.ready_idle.items():
+    for kind, tasks in state.ready_opportunistic.items():
         job = state.jobs[kind[0]]
         step = job.request.steps[kind[2]]
         waiting[step.image] = waiting.get(step.image, 0) + len(tasks)
@@ -222,7 +226,7 @@
     for worker in state.workers.values():
         if not _feasibility.is_feasible(worker, job, task, step, state):
             continue
-        worst = _interference.find_worst(step, worker, state)
+        worst = _interference.find_tightest_excess(step, worker, state)
         if worst is not None:
             ratio = worst.excess / max(worst.slack, _MIN_SLACK)
             fields = attrs.asdict(worst) | {'worker': worker.worker_id}
@@ -233,10 +237,10 @@
 def _summarize_idle_jobs(state: SchedulerState) -> dict[str, t.Any]:
     """Return log fields on jobs that wait without any run."""
     idle_ms: dict[str, int] = {}
-    for kind, tasks in state.ready_idle.items():
+    for kind, tasks in state.ready_opportunistic.items():
         job = state.jobs[kind[0]]
         task = next(iter(tasks.values()))
-        since_ms = _ready.get_idle_ms(job, task, state)
+        since_ms = _ready.get_idle_job_ms(job, task, state)
         if since_ms >= _LOG_INTERVAL_MS:
             idle_ms[job.job_id] = max(since_ms, idle_ms.get(job.job_id, 0))
     longest = max(idle_ms, key=idle_ms.__getitem__, default='')
@@ -298,4 +302,4 @@
     free = worker.free
     if free.cpu_millicores < step.reserved.cpu_millicores:
         return 'processors'
-    return 'takes_it' if worker.has_room(step.reserved) else 'memory'
+    return 'takes_it' if worker.has_capacity(step.reserved) else 'memory'
--- a/src/tulippin/jobs/_row_checks.py
+++ b/src/tulippin/jobs/_row_checks.py
@@ -15,7 +15,7 @@
 
 from tulippin.jobs import _model_checks
 from tulippin.jobs.records import (
-    PLACE_SIZES,
+    FIT_COUNT_SIZES,
     AccountRecord,
     GuestRecord,
     HomeRecord,
@@ -24,7 +24,7 @@
     LeaseRecord,
     ModelRecord,
     ProgressRecord,
-    UnitRoom,
+    UnitCapacity,
     WorkerAccount,
 )
 from tulippin.jobs.types import (
@@ -33,7 +33,7 @@
     Schedule,
     Step,
     TaskKey,
-    parse_task,
+    parse_task_key,
 )
 from tulippin.types import Resources
 
@@ -43,17 +43,17 @@
 _JOB_ID: t.Final = re.compile('[^./]+')
 _HEX: t.Final = 16
 # A job with more tasks would fill an owner's memory before its first one runs.
-MOST_TASKS: t.Final = 1_000_000
+MAX_TASKS: t.Final = 1_000_000
 # Maximum amount of a resource, also of a worker's capacity: far above any
 # machine, while sums and products of such amounts fit into a float.
-MOST_AMOUNT: t.Final = 10**9
+MAX_AMOUNT: t.Final = 10**9
 # About 30,000 years, which a float adds to a time of day without rounding.
-LONGEST_MS: t.Final = 10**15
+MAX_DURATION_MS: t.Final = 10**15
 # Maximum latency target: a float still holds sums with it.
 _MAX_TARGET_MS: t.Final = 10**300
 # Far above what all jobs that fit into one unit ask for.
 _MAX_UNIT_AMOUNT: t.Final = 10**30
-_MAX_SIZE: t.Final = Resources(MOST_AMOUNT, MOST_AMOUNT, MOST_AMOUNT)
+_MAX_SIZE: t.Final = Resources(MAX_AMOUNT, MAX_AMOUNT, MAX_AMOUNT)
 # Each unit has two tables, and the platform's store holds 100 tables.
 _MAX_UNITS: t.Final = 1000
 # Maximum remaining validity of a former owner's orders, usually a few seconds.
@@ -96,12 +96,12 @@
 def _find_request_fault(request: JobRequest) -> str:
     if not request.steps:
         return 'it has no steps'
-    if request.occurrence_count * len(request.steps) > MOST_TASKS:
+    if request.occurrence_count * len(request.steps) > MAX_TASKS:
         return 'it has too many steps'
-    if sum(step.task_count for step in request.steps) > MOST_TASKS:
+    if sum(step.task_count for step in request.steps) > MAX_TASKS:
         return 'it has too many tasks'
     if not _is_valid_schedule(request.schedule):
-        return 'its schedule is out of range'
+        return 'it is due at no time'
     faults = (
         _find_step_fault(number, step)
         for number, step in enumerate(request.steps)
@@ -111,16 +111,16 @@
 
 def _is_valid_schedule(schedule: Schedule) -> bool:
     times_ms = (schedule.first_at_ms, schedule.interval_ms)
-    return all(abs(time_ms) <= LONGEST_MS for time_ms in times_ms)
+    return all(abs(time_ms) <= MAX_DURATION_MS for time_ms in times_ms)
 
 
 def _find_step_fault(number: int, step: Step) -> str:
-    if not 0 < step.task_count <= MOST_TASKS:
+    if not 0 < step.task_count <= MAX_TASKS:
         return f'step {number} has {step.task_count} tasks'
     if any(not 0 <= one < number for one in step.after):
-        return f'step {number} depends on a step that is not an earlier one'
+        return f'step {number} waits for one that is no earlier one'
     if _has_negative_amount(step):
-        return f'step {number} asks for a negative amount'
+        return f'step {number} asks for less than nothing'
     if _has_excessive_amount(step):
         return f'step {number} asks for more than there can be'
     return ''
@@ -133,7 +133,7 @@
 
 def _has_excessive_amount(step: Step) -> bool:
     """Whether values computed from a step may exceed the range of floats."""
-    is_long = max(step.estimated_ms, step.target_ms) > LONGEST_MS
+    is_long = max(step.estimated_ms, step.target_ms) > MAX_DURATION_MS
     return is_long or not _MAX_SIZE.fits(step.size)
 
 
@@ -150,7 +150,7 @@
     """Return a fault if one of the ``K.STEP.INDEX`` names is no task."""
     for name in names:
         is_name = _TASK_NAME.fullmatch(name) is not None
-        if not is_name or not has_task(request, parse_task(f'-.{name}')):
+        if not is_name or not has_task(request, parse_task_key(f'-.{name}')):
             return f'it names unknown task {name!r}'
     return ''
 
@@ -188,7 +188,7 @@
     for name, bits in (*record.done.items(), *(record.begun or {}).items()):
         if not _STEP_NAME.fullmatch(name) or not _BITS.fullmatch(bits):
             return f'malformed entry for step {name!r}'
-        key = parse_task(f'-.{name}.0')
+        key = parse_task_key(f'-.{name}.0')
         if not has_task(request, key):
             return f'it names unknown step {name!r}'
         if int(bits, _HEX) >> request.steps[key.step].task_count:
@@ -241,7 +241,7 @@
     return _find_capacity_fault(record.room)
 
 
-def _find_capacity_fault(room: UnitRoom) -> str:
+def _find_capacity_fault(room: UnitCapacity) -> str:
     """Return what is invalid in a unit's reported capacity.
 
     Shares of it are compared with those of other units: a negative one would
@@ -259,7 +259,9 @@
     )
     if not all(0 <= value <= _MAX_UNIT_AMOUNT for value in amounts):
         return 'its capacity is out of range'
-    if max(len(room.places), len(room.short_places or ())) > len(PLACE_SIZES):
+    if max(len(room.places), len(room.short_places or ())) > len(
+        FIT_COUNT_SIZES
+    ):
         return 'it has more fit counts than there are task sizes'
     # Free capacity is negative where more is reserved than exists.
     free = (*attrs.astuple(room.largest_free), room.largest_new_millicores)
@@ -268,7 +270,7 @@
     return ''
 
 
-def _iter_demand_figures(room: UnitRoom) -> t.Iterator[float]:
+def _iter_demand_figures(room: UnitCapacity) -> t.Iterator[float]:
     for one in room.demands:
         yield from (one.mean_millicores, one.variance, one.count)
         yield from (one.squares, one.cubes, one.memory)
--- a/src/tulippin/jobs/_slow_start.py
+++ b/src/tulippin/jobs/_slow_start.py
@@ -85,14 +85,14 @@
     """
     wait_ms = _IDLE_WAIT_MS if _has_no_arrivals(state) else _WAIT_MS
     found: list[tuple[int, Job, Task]] = []
-    for kind, tasks in state.ready_idle.items():
+    for kind, tasks in state.ready_opportunistic.items():
         job = state.jobs[kind[0]]
         task = _find_startable(job, tasks.values(), state)
         # Members of a gang run only together, and at full pace.
         step = job.request.steps[kind[2]]
-        if task is None or step.gang or _unseen.holds_back(job, step):
+        if task is None or step.gang or _unseen.must_await_workers(job, step):
             continue
-        idle_ms = _ready.get_idle_ms(job, task, state)
+        idle_ms = _ready.get_idle_job_ms(job, task, state)
         if idle_ms >= wait_ms:
             found.append((idle_ms, job, task))
     found.sort(key=lambda one: -one[0])
@@ -101,10 +101,10 @@
 
 def _has_no_arrivals(state: SchedulerState) -> bool:
     """Whether no job has arrived for a while."""
-    return state.now_ms - state.arrived_ms >= _ARRIVAL_GAP_MS
+    return state.now_ms - state.last_arrival_ms >= _ARRIVAL_GAP_MS
 
 
-def take_turn(
+def select_round(
     waiting: list[tuple[Job, Task]], state: SchedulerState
 ) -> list[tuple[Job, Task]]:
     """Return the tasks for this round: the first ones, and others in turn.
@@ -116,8 +116,8 @@
     others = waiting[_FIRST_TASK_COUNT:]
     if not others:
         return first
-    offset = state.slow_turn % len(others)
-    state.slow_turn = offset + _ROTATING_TASK_COUNT
+    offset = state.next_slow_start % len(others)
+    state.next_slow_start = offset + _ROTATING_TASK_COUNT
     return first + (others[offset:] + others[:offset])[:_ROTATING_TASK_COUNT]
 
 
@@ -153,7 +153,10 @@
     best: Worker | None = None
     best_rank = (True, 0.0, 0.0)
     for worker in state.workers.values():
-        if worker.missed_since_ms or _count_slow_runs(worker) >= max_slow_runs:
+        if (
+            worker.targets_missed_since_ms
+            or _count_slow_runs(worker) >= max_slow_runs
+        ):
             continue
         if not _feasibility.is_feasible(
             worker, job, task, step, state, has_waited=True
@@ -189,7 +192,7 @@
     step: Step, count: int, worker: Worker, state: SchedulerState
 ) -> float:
     """Return the pace that is tolerated if a number of such runs share it."""
-    return _PERCENT * _interference.compute_borne_share(
+    return _PERCENT * _interference.compute_tolerated_pace(
         step, count, worker, state
     )
 
@@ -218,7 +221,7 @@
     state : SchedulerState
         Holds the model.
     """
-    if worker.missed_since_ms:
+    if worker.targets_missed_since_ms:
         return 0
     tolerated = _get_pace(
         _compute_tolerated_percent(
@@ -227,10 +230,10 @@
     )
     if ratio > _TIGHT_RATIO:
         return max(tolerated, _get_min_pace(state))
-    return max(tolerated, attempt.wanted_percent, _MIN_PACE_PERCENT)
+    return max(tolerated, attempt.target_pace_percent, _MIN_PACE_PERCENT)
 
 
-def has_place_elsewhere(attempt: Attempt, context: Context) -> bool:
+def can_start_elsewhere(attempt: Attempt, context: Context) -> bool:
     """Whether another worker is the best one for a run that is paused here."""
     found = _attempts.find_task(attempt.key, context)
     if found is None:
--- a/src/tulippin/jobs/_soundness.py
+++ b/src/tulippin/jobs/_soundness.py
@@ -37,16 +37,16 @@
     time if the worker stays unhealthy.
     """
     state = context.state
-    if _is_unwell(worker, context):
-        worker.unwell_since_ms = worker.unwell_since_ms or state.now_ms
+    if _is_unhealthy(worker, context):
+        worker.unhealthy_since_ms = worker.unhealthy_since_ms or state.now_ms
     else:
-        worker.unwell_since_ms = 0
+        worker.unhealthy_since_ms = 0
     stalled = [
         attempt
         for attempt in worker.attempts.values()
         if _is_stalled(attempt, context)
     ]
-    lasted_ms = state.now_ms - (worker.unwell_since_ms or state.now_ms)
+    lasted_ms = state.now_ms - (worker.unhealthy_since_ms or state.now_ms)
     if lasted_ms < _UNHEALTHY_AFTER_MS and not stalled:
         return
     if worker.quarantined_until_ms < state.now_ms:
@@ -66,7 +66,7 @@
         _move_one_serving(worker, context)
 
 
-def _is_unwell(worker: Worker, context: Context) -> bool:
+def _is_unhealthy(worker: Worker, context: Context) -> bool:
     """Whether most tails on a worker exceed what interference explains."""
     exposures = _interference.get_exposure(worker)
     if exposures is None:
@@ -75,12 +75,12 @@
     known_count = 0
     excessive_count = 0
     for attempt in worker.serving.values():
-        alone_ms = _tails.get_undisturbed_ms(attempt, context.state)
+        alone_ms = _tails.get_undisturbed_tail_ms(attempt, context.state)
         if alone_ms <= 0 or attempt.load <= 0:
             continue
         known_count += 1
         excess = math.log(attempt.load / alone_ms)
-        excessive_count += _tails.is_own_doing(excess, exposure)
+        excessive_count += _tails.exceeds_neighbour_effect(excess, exposure)
     return known_count > 0 and excessive_count * 2 > known_count
 
 
@@ -88,11 +88,13 @@
     """Whether a task that may work has used no processor time for a while."""
     if attempt.step.target_ms or attempt.state is not AttemptState.RUNNING:
         return False
-    if attempt.wanted_percent < 100 or attempt.pace_percent != 100:
+    if attempt.target_pace_percent < 100 or attempt.pace_percent != 100:
         return False
     if attempt.step.gang or attempt.progress_percent >= 100:
         return False
-    since_ms = max(attempt.worked_ms, attempt.seen_ms, attempt.paced_ms)
+    since_ms = max(
+        attempt.last_progress_ms, attempt.seen_ms, attempt.pace_sent_ms
+    )
     return context.state.now_ms - since_ms > _STALLED_AFTER_MS
 
 
@@ -111,9 +113,9 @@
         if attempt.state is AttemptState.STOPPING:
             return
     for attempt in worker.serving.values():
-        if not _scoring.fits_elsewhere(attempt, context):
+        if not _scoring.has_other_worker(attempt, context):
             continue
-        if _availability.may_end(attempt, context):
+        if _availability.may_end_run(attempt, context):
             _move(attempt, 'its worker is unhealthy', context)
             return
         context.state.count('moves_held_back')
--- a/src/tulippin/jobs/_starting.py
+++ b/src/tulippin/jobs/_starting.py
@@ -35,7 +35,7 @@
     """
     state = context.state
     run = context.fencing_token * RUNS_PER_EPOCH + task.run_count
-    run += task.least_run
+    run += task.run_floor
     attempt = Attempt(
         task.key,
         run,
@@ -47,12 +47,12 @@
         checkpoint=task.checkpoint,
     )
     _attempts.add_attempt(attempt, task, worker)
-    _trials.note_start(attempt, task, worker)
-    if step.long_running and not _lifecycle.is_place_durable(
+    _trials.begin_probation(attempt, task, worker)
+    if step.long_running and not _lifecycle.is_assignment_durable(
         job, task.key, worker.worker_id
     ):
         attempt.is_ordered = False
-    task.spares = frozenset()
+    task.standby_workers = frozenset()
     _ready.remove(task.key, step, state)
     return attempt
 
@@ -65,17 +65,17 @@
     it becomes durable 0.1 s later.
     """
     state = context.state
-    _lifecycle.mark_begun(job, state)
+    _lifecycle.mark_running(job, state)
     _lifecycle.mark_dirty(job, state)
     if attempt.is_ordered:
         _send_order(attempt, job, context)
     else:
-        state.unsent.append(attempt)
+        state.unsent_starts.append(attempt)
 
 
 def send_durable(context: Context) -> None:
     """Send the start orders that have become durable."""
-    for attempt in _crashes.take_durable(context):
+    for attempt in _crashes.take_sendable_attempts(context):
         _send_order(attempt, context.state.jobs[attempt.key.job_id], context)
 
 
@@ -86,7 +86,7 @@
     task = job.tasks[attempt.key]
     valid_ms = state.config.start_valid_ms
     attempt.start_deadline_ms = _workers.get_clock_ms(worker, state) + valid_ms
-    _unseen.extend_lapse(worker, valid_ms, state)
+    _unseen.extend_lapse_time(worker, valid_ms, state)
     state.count('starts')
     context.log(
         'start run',
@@ -96,7 +96,7 @@
         waited_ms=state.now_ms - job.arrived_ms,
         reserved_millicores=worker.reserved.cpu_millicores,
         list_age_ms=state.now_ms - worker.answered_ms,
-        pace_percent=attempt.wanted_percent,
+        pace_percent=attempt.target_pace_percent,
         crashes=len(task.crashes),
     )
     context.emit(
--- a/src/tulippin/jobs/_unseen.py
+++ b/src/tulippin/jobs/_unseen.py
@@ -17,7 +17,7 @@
 from tulippin.jobs._row_checks import has_task
 from tulippin.jobs.records import AccountRecord, WorkerAccount
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
-from tulippin.jobs.types import Step, WorkerEntry, parse_task
+from tulippin.jobs.types import Step, WorkerEntry, parse_task_key
 
 # Maximum time for which an owner may be unaware of its successor. It learns
 # of it from its feed of jobs at once, or from any other worker's next report a
@@ -29,7 +29,7 @@
 _MAX_LOGGED_WORKERS: t.Final = 5
 
 
-def extend_lapse(
+def extend_lapse_time(
     worker: Worker, lasting_ms: int, state: SchedulerState
 ) -> None:
     """Extend the time at which runs on a worker lapse.
@@ -45,24 +45,24 @@
     """
     drift = state.config.clock_drift_ratio
     at_ms = state.now_ms + int(lasting_ms * drift) + _LAPSE_SLACK_MS
-    worker.lapse_at_ms = max(worker.lapse_at_ms, at_ms)
+    worker.lease_expiry_ms = max(worker.lease_expiry_ms, at_ms)
 
 
 def are_runs_confirmed(worker: Worker, state: SchedulerState) -> bool:
     """Whether a worker can't have unconfirmed runs of an earlier owner."""
-    return worker.is_reconciled or state.now_ms > worker.lapse_at_ms
+    return worker.is_reconciled or state.now_ms > worker.lease_expiry_ms
 
 
-def is_settled(state: SchedulerState) -> bool:
+def are_earlier_runs_confirmed(state: SchedulerState) -> bool:
     """Whether no worker can have unconfirmed runs of any task."""
-    return state.now_ms > state.unsettled_until_ms and all(
+    return state.now_ms > state.unconfirmed_until_ms and all(
         are_runs_confirmed(worker, state)
         for worker in state.workers.values()
-        if worker.may_run_anything
+        if worker.may_run_any_task
     )
 
 
-def list_awaited(state: SchedulerState) -> list[str]:
+def list_unconfirmed_workers(state: SchedulerState) -> list[str]:
     """Return the ids of rostered workers that may have unconfirmed runs."""
     return [
         worker_id
@@ -71,16 +71,16 @@
     ]
 
 
-def get_awaited_ms(state: SchedulerState) -> int:
+def get_unconfirmed_ms(state: SchedulerState) -> int:
     """Return the time until all unconfirmed runs have lapsed, at most."""
     lapse_times_ms = [
-        state.workers[worker_id].lapse_at_ms
-        for worker_id in list_awaited(state)
+        state.workers[worker_id].lease_expiry_ms
+        for worker_id in list_unconfirmed_workers(state)
     ]
     return max(0, max(lapse_times_ms, default=0) - state.now_ms)
 
 
-def note_settled(state: SchedulerState) -> list[Job]:
+def end_worker_wait(state: SchedulerState) -> list[Job]:
     """End the wait of jobs for all workers once it isn't needed any more.
 
     Returns
@@ -88,42 +88,44 @@
     list of Job
         The jobs that have waited until now.
     """
-    if state.is_settled or not is_settled(state):
+    if state.are_earlier_runs_confirmed or not are_earlier_runs_confirmed(
+        state
+    ):
         return []
-    state.is_settled = True
-    awaiting = [job for job in state.jobs.values() if job.awaits_workers]
+    state.are_earlier_runs_confirmed = True
+    awaiting = [job for job in state.jobs.values() if job.awaits_confirmation]
     for job in state.jobs.values():
-        job.awaits_workers = False
-        if not job.knows_places:
-            job.knows_places = True
+        job.awaits_confirmation = False
+        if not job.are_assignments_known:
+            job.are_assignments_known = True
             _lifecycle.mark_dirty(job, state)
     return awaiting
 
 
-def holds_back(job: Job, step: Step) -> bool:
+def must_await_workers(job: Job, step: Step) -> bool:
     """Whether the tasks of a step wait for all workers with orders.
 
     Any of these workers may have unconfirmed runs of the tasks.
     """
-    is_recorded = step.long_running and job.knows_places
-    return job.awaits_workers and not is_recorded
+    is_recorded = step.long_running and job.are_assignments_known
+    return job.awaits_confirmation and not is_recorded
 
 
-def is_awaited(task: Task, state: SchedulerState) -> bool:
+def has_unconfirmed_run(task: Task, state: SchedulerState) -> bool:
     """Whether a task may have an unconfirmed run on a known worker.
 
     Workers that can't have unconfirmed runs any more are removed from the
     task.
     """
-    if not task.unseen_on:
+    if not task.unconfirmed_workers:
         return False
-    task.unseen_on = {
+    task.unconfirmed_workers = {
         worker_id
-        for worker_id in task.unseen_on
+        for worker_id in task.unconfirmed_workers
         if worker_id in state.workers
         and not are_runs_confirmed(state.workers[worker_id], state)
     }
-    return bool(task.unseen_on)
+    return bool(task.unconfirmed_workers)
 
 
 def note_answer(
@@ -137,8 +139,8 @@
     that leaves soon after wait for 10.6 s, where owners grant 4.5 s.
     """
     if not worker.is_reconciled:
-        worker.lapse_at_ms = 0
-        extend_lapse(worker, state.config.worker_lease_ms, state)
+        worker.lease_expiry_ms = 0
+        extend_lapse_time(worker, state.config.worker_lease_ms, state)
     worker.is_reconciled = is_whole
 
 
@@ -148,7 +150,7 @@
 def begin(account: AccountRecord | None, context: Context) -> None:
     """Record which workers may have unconfirmed runs, and until when."""
     state = context.state
-    state.is_settled = False
+    state.are_earlier_runs_confirmed = False
     reports = _get_valid_report(account, context)
     for worker_id, address in state.roster.items():
         worker = state.workers.get(worker_id)
@@ -162,18 +164,18 @@
         worker.exposure = None
         reported = reports.get(worker_id) if reports is not None else None
         if reported is not None:
-            worker.may_run_anything = reported.tasks is None
+            worker.may_run_any_task = reported.tasks is None
             # The reported duration includes drift and slack already.
-            worker.lapse_at_ms = state.now_ms + reported.lasting_ms
+            worker.lease_expiry_ms = state.now_ms + reported.lasting_ms
         elif reports is None:
-            worker.may_run_anything = True
-            extend_lapse(worker, _get_max_inherited_ms(state), state)
+            worker.may_run_any_task = True
+            extend_lapse_time(worker, _get_max_inherited_ms(state), state)
         # Otherwise the worker was on the roster without an order, or all of
         # its runs had ended and it was about to be removed.
     unknown_workers = [
         worker_id
         for worker_id, worker in state.workers.items()
-        if worker.may_run_anything
+        if worker.may_run_any_task
     ]
     context.log(
         'account read',
@@ -181,7 +183,7 @@
         silent=sum(report.is_silent for report in (reports or {}).values()),
         unknown=len(unknown_workers),
         unknown_workers=unknown_workers[:_MAX_LOGGED_WORKERS],
-        lasting_ms=get_awaited_ms(state),
+        lasting_ms=get_unconfirmed_ms(state),
     )
 
 
@@ -214,7 +216,9 @@
     # An empty roster differs from the wanted one, so it is written again.
     state.roster = {}
     lasting_ms = _get_max_inherited_ms(state) * state.config.clock_drift_ratio
-    state.unsettled_until_ms = state.now_ms + int(lasting_ms) + _LAPSE_SLACK_MS
+    state.unconfirmed_until_ms = (
+        state.now_ms + int(lasting_ms) + _LAPSE_SLACK_MS
+    )
 
 
 def _get_max_inherited_ms(state: SchedulerState) -> int:
@@ -242,10 +246,10 @@
     if complete:
         for job in state.jobs.values():
             for task in job.tasks.values():
-                task.unseen_on -= complete
+                task.unconfirmed_workers -= complete
     for worker_id, report in reports.items():
         for name in report.tasks or ():
-            key = parse_task(name)
+            key = parse_task_key(name)
             job = state.jobs.get(key.job_id)
             is_task = job is not None and has_task(job.request, key)
             if is_task and worker_id in state.workers:
@@ -253,10 +257,10 @@
 
 
 def _add_unconfirmed_run(task: Task, worker_id: str) -> None:
-    task.unseen_on.add(worker_id)
-    if task.open_start is None:
+    task.unconfirmed_workers.add(worker_id)
+    if task.unresolved_start is None:
         # Its start may not be durable; the number of the run is unknown.
-        task.open_start = (0, worker_id)
+        task.unresolved_start = (0, worker_id)
 
 
 # -- the release report for the next owner ------------------------------------
@@ -281,8 +285,8 @@
     found: dict[str, set[str]] = {}
     for job in state.jobs.values():
         for task in job.tasks.values():
-            if is_awaited(task, state):
-                for worker_id in task.unseen_on:
+            if has_unconfirmed_run(task, state):
+                for worker_id in task.unconfirmed_workers:
                     found.setdefault(worker_id, set()).add(task.key.format())
     return found
 
@@ -291,16 +295,16 @@
     worker: Worker, unconfirmed: set[str], state: SchedulerState
 ) -> WorkerAccount:
     """Return the release report of one worker."""
-    lasting_ms = max(0, worker.lapse_at_ms - state.now_ms)
+    lasting_ms = max(0, worker.lease_expiry_ms - state.now_ms)
     is_silent = worker.failed_count > 0 or not worker.is_reconciled
-    if worker.may_run_anything and not are_runs_confirmed(worker, state):
+    if worker.may_run_any_task and not are_runs_confirmed(worker, state):
         return WorkerAccount(lasting_ms, None, is_silent)
     # An end that isn't durable yet is known only to the worker. Without its
     # task in the report, a task that is done would be started again.
     keys = {attempt.key for attempt in worker.attempts.values()}
-    keys.update(worker.unsettled.values())
-    keys.update(worker.early_ends)
-    keys.update(key for key, _ in worker.strays)
+    keys.update(worker.uncommitted_ends.values())
+    keys.update(worker.deferred_ends)
+    keys.update(key for key, _ in worker.orphaned_runs)
     names = {key.format() for key in keys}
     return WorkerAccount(
         lasting_ms, tuple(sorted(names | unconfirmed)), is_silent
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -27,7 +27,7 @@
     WorkerSilent,
 )
 from tulippin.jobs.state import AttemptState, SchedulerState, Worker
-from tulippin.jobs.types import StartOutcome, WorkerEntry
+from tulippin.jobs.types import OrderOutcome, WorkerEntry
 
 # How long a hold call waits at the worker for the end of a run: by default,
 # where opportunistic tasks share processors with tasks that have a latency
@@ -49,7 +49,7 @@
 @handle.register
 def _handle_worker_list(event: WorkersChanged, context: Context) -> None:
     for entry in event.changed:
-        note_entry(entry, event.read_ms, context)
+        apply_entry(entry, event.read_ms, context)
     for worker_id in event.gone:
         worker = context.state.workers.get(worker_id)
         if worker is not None and worker.is_listed:
@@ -57,7 +57,7 @@
             context.log('worker unlisted', worker=worker_id)
 
 
-def note_entry(entry: WorkerEntry, read_ms: int, context: Context) -> None:
+def apply_entry(entry: WorkerEntry, read_ms: int, context: Context) -> None:
     """Apply a worker's entry on the platform's list.
 
     Parameters
@@ -79,7 +79,7 @@
             address=entry.address,
             service=entry.service,
         )
-    if worker.is_over:
+    if worker.is_superseded:
         # The list keeps an entry for three heartbeats after the worker ends.
         return
     if worker.is_rostered and worker.entry.address != entry.address:
@@ -90,7 +90,7 @@
     if entry.capacity != worker.entry.capacity:
         _update_capacity(worker, entry, context)
     worker.entry = entry
-    worker.entry_ms = read_ms
+    worker.entry_read_ms = read_ms
     worker.is_listed = True
 
 
@@ -101,7 +101,7 @@
 
     Runs on the worker continue even if they exceed the new capacity.
     """
-    _interference.forget_view(worker)
+    _interference.invalidate_slack(worker)
     context.state.is_placing_due = True
     context.log(
         'worker capacity changed',
@@ -162,12 +162,12 @@
     return state.now_ms + (worker.clock_offset_ms or 0)
 
 
-def hold_all(context: Context) -> None:
+def send_due_holds(context: Context) -> None:
     """Send a hold call to every worker that is due for one.
 
     A hold call renews the worker's lease and returns its next report.
     """
-    if not context.may_order:
+    if not context.may_send_orders:
         return
     for worker in context.state.workers.values():
         _hold_if_due(worker, context)
@@ -176,9 +176,9 @@
 def _hold_if_due(worker: Worker, context: Context) -> None:
     """Send a hold call, unless one is open or none is needed."""
     state = context.state
-    if worker.is_holding or state.now_ms < worker.hold_after_ms:
+    if worker.is_hold_in_flight or state.now_ms < worker.hold_after_ms:
         return
-    if worker.is_over or not worker.is_rostered:
+    if worker.is_superseded or not worker.is_rostered:
         return
     if not (
         _is_hold_needed(worker)
@@ -191,11 +191,11 @@
     is_answering = (
         worker.clock_offset_ms is not None and not worker.failed_count
     )
-    if is_answering and _ownership.may_prolong(state):
+    if is_answering and _ownership.may_extend_leases(state):
         lease_ms = state.config.worker_lease_ms
         deadline_ms = get_clock_ms(worker, state) + lease_ms
-        _unseen.extend_lapse(worker, lease_ms, state)
-    worker.is_holding = True
+        _unseen.extend_lapse_time(worker, lease_ms, state)
+    worker.is_hold_in_flight = True
     worker.needs_ack = False
     context.emit(
         HoldWorker(
@@ -212,8 +212,10 @@
 def _is_hold_needed(worker: Worker) -> bool:
     """Whether the worker has runs, an unknown state or ends to acknowledge."""
     is_unknown = not worker.is_reconciled or worker.failed_count > 0
-    has_ends = worker.ends_read > worker.last_seen or worker.needs_ack
-    has_runs = bool(worker.attempts or worker.strays)
+    has_ends = (
+        worker.last_read_end_number > worker.last_seen or worker.needs_ack
+    )
+    has_runs = bool(worker.attempts or worker.orphaned_runs)
     return has_runs or is_unknown or has_ends
 
 
@@ -221,7 +223,7 @@
     """Return how long a hold call may wait at the worker for an end."""
     if not worker.is_reconciled or worker.failed_count:
         return 0
-    if worker.strays or _trials.has_trials(worker):
+    if worker.orphaned_runs or _trials.has_probation(worker):
         return _PENDING_HOLD_WAIT_MS
     for attempt in worker.attempts.values():
         if attempt.state in _PENDING_STATES:
@@ -240,7 +242,7 @@
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
-    worker.is_holding = False
+    worker.is_hold_in_flight = False
     if event.is_fenced:
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
@@ -265,11 +267,11 @@
     right after each answer until its last lease expired, 1,770 times a
     second for three workers, which saturates the owner's processor.
     """
-    if worker.is_over:
+    if worker.is_superseded:
         return
-    _crashes.note_end_of_life(worker, context)
+    _crashes.note_worker_crash(worker, context)
     _release_runs(worker, context, 'its worker has a new incarnation')
-    worker.is_over = True
+    worker.is_superseded = True
     worker.is_listed = False
     worker.is_reconciled = True
 
@@ -280,7 +282,7 @@
         if attempt.is_ordered and attempt.step.long_running:
             # It may have run even if no answer has confirmed it.
             _attempts.note_running(attempt, context)
-        _attempts.release(attempt, context, why)
+        _attempts.drop_lost_attempt(attempt, context, why)
 
 
 # -- answers to orders --------------------------------------------------------
@@ -293,21 +295,21 @@
     if worker is None:
         return
     outcome = event.answer.outcome
-    if outcome is StartOutcome.FENCED:
+    if outcome is OrderOutcome.FENCED:
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
     attempt = worker.attempts.get((event.key, event.run))
     if attempt is None or attempt.state is not AttemptState.STARTING:
         return
-    if outcome is StartOutcome.STARTED:
+    if outcome is OrderOutcome.STARTED:
         attempt.state = AttemptState.RUNNING
         attempt.seen_ms = state.now_ms
-        attempt.worked_ms = state.now_ms
+        attempt.last_progress_ms = state.now_ms
         _attempts.note_running(attempt, context)
         _pacing.send_if_changed(attempt, worker, context)
         return
     state.count(f'starts_{outcome.value}')
-    if outcome is StartOutcome.UNKNOWN:
+    if outcome is OrderOutcome.UNKNOWN:
         attempt.state = AttemptState.DOUBTFUL
         context.log(
             'start unanswered',
@@ -316,12 +318,14 @@
             worker=event.worker_id,
         )
         return
-    if outcome is StartOutcome.NO_ROOM:
+    if outcome is OrderOutcome.NO_ROOM:
         worker.paused_until_ms = state.now_ms + _NO_CAPACITY_PAUSE_MS
-    elif outcome is not StartOutcome.OTHER_LIFE:
+    elif outcome is not OrderOutcome.OTHER_INCARNATION:
         worker.paused_until_ms = state.now_ms + _REFUSED_START_PAUSE_MS
-    _attempts.release(attempt, context, f'start refused: {outcome.value}')
-    if outcome is StartOutcome.OTHER_LIFE:
+    _attempts.drop_lost_attempt(
+        attempt, context, f'start refused: {outcome.value}'
+    )
+    if outcome is OrderOutcome.OTHER_INCARNATION:
         _end_incarnation(worker, context)
 
 
@@ -331,12 +335,12 @@
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
-    if event.answer.outcome is StartOutcome.FENCED:
+    if event.answer.outcome is OrderOutcome.FENCED:
         _ownership.step_down(context, f'{event.worker_id} has a newer owner')
         return
     attempt = worker.attempts.get((event.key, event.run))
-    if attempt is not None and event.answer.outcome is StartOutcome.STARTED:
-        attempt.stop_is_settled = True
+    if attempt is not None and event.answer.outcome is OrderOutcome.STARTED:
+        attempt.is_stop_confirmed = True
         attempt.seen_ms = state.now_ms
 
 
@@ -345,16 +349,18 @@
 
 def tick(context: Context) -> None:
     """Release runs with an expired lease, repeat stops, drop lost workers."""
-    if not context.may_order:
+    if not context.may_send_orders:
         return
     state = context.state
     for worker in list(state.workers.values()):
-        if worker.failed_count and state.now_ms > worker.lapse_at_ms:
+        if worker.failed_count and state.now_ms > worker.lease_expiry_ms:
             _release_runs(worker, context, 'its lease expired')
-        _attempts.stop_again(worker, context)
+        _attempts.repeat_stops(worker, context)
         if _is_forgettable(worker, state):
             if worker.is_rostered and not worker.is_reconciled:
-                state.lost_unread.setdefault(worker.worker_id, False)
+                state.lost_unconfirmed_workers.setdefault(
+                    worker.worker_id, False
+                )
             context.log('worker removed', worker=worker.worker_id)
             del state.workers[worker.worker_id]
             context.emit(ForgetWorker(worker.worker_id))
@@ -365,6 +371,6 @@
     return not (
         worker.is_listed
         or worker.attempts
-        or worker.is_holding
-        or state.now_ms <= worker.lapse_at_ms
+        or worker.is_hold_in_flight
+        or state.now_ms <= worker.lease_expiry_ms
     )
--- a/src/tulippin/jobs/core.py
+++ b/src/tulippin/jobs/core.py
@@ -64,23 +64,23 @@
     context = Context(state)
     gap_ms = event.at_ms - state.now_ms
     if state.now_ms:
-        _ownership.note_pause(context, gap_ms)
+        _ownership.note_suspension(context, gap_ms)
     state.now_ms = max(state.now_ms, event.at_ms)
-    if isinstance(event, _advising.ADVISING_EVENTS):
-        _advising.hear(event, context)
+    if isinstance(event, _advising.ADVISORY_EVENTS):
+        _advising.handle_advisory(event, context)
     else:
         handle(event, context)
     if state.ownership.phase is Phase.STANDING_BY:
         # An instance stands by for most units and decides nothing for them.
         return tuple(context.effects)
-    if isinstance(event, WorkerAnswered) and context.may_order:
+    if isinstance(event, WorkerAnswered) and context.may_send_orders:
         _evaluate_report(event, context)
     is_tick = isinstance(event, Ticked)
     _placing.place(context, is_tick=is_tick)
     if is_tick:
         _run_periodic_work(context)
     _committing.commit_if_due(context)
-    _workers.hold_all(context)
+    _workers.send_due_holds(context)
     return tuple(context.effects)
 
 
@@ -92,7 +92,7 @@
     _draining.tick(context)
     _passing.tick(context)
     _headroom.tick(context)
-    _refusals.tell(context)
+    _refusals.log_waits(context)
 
 
 def _evaluate_report(event: WorkerAnswered, context: Context) -> None:
@@ -111,7 +111,7 @@
     _ownership.tick(context)
     _workers.tick(context)
     _committing.tick(context)
-    if context.may_order:
+    if context.may_send_orders:
         state.swings.choose_period(state.now_ms)
     for job_id in state.scheduled:
         if job_id in state.jobs:
--- a/src/tulippin/platform/standin_http.py
+++ b/src/tulippin/platform/standin_http.py
@@ -28,9 +28,9 @@
 from tulippin.jobs.types import (
     EndedRun,
     OrderAnswer,
+    OrderOutcome,
     RunningTask,
-    StartOutcome,
-    parse_task,
+    parse_task_key,
 )
 from tulippin.platform.standin import StandinPlatform, StandinWorker
 from tulippin.platform.wire import (
@@ -45,10 +45,10 @@
 )
 
 _REASONS_BY_OUTCOME: t.Final = {
-    StartOutcome.FENCED: 'fence',
-    StartOutcome.SUPERSEDED: 'old',
-    StartOutcome.TOO_LATE: 'late',
-    StartOutcome.NO_ROOM: 'room',
+    OrderOutcome.FENCED: 'fence',
+    OrderOutcome.SUPERSEDED: 'old',
+    OrderOutcome.TOO_LATE: 'late',
+    OrderOutcome.NO_ROOM: 'room',
 }
 
 
@@ -158,7 +158,7 @@
         order = StartOrder(
             request.headers['Expected-Instance'],
             self.worker.address,
-            parse_task(body.task),
+            parse_task_key(body.task),
             body.run,
             body.spec,
             body.deadline_ms,
@@ -166,13 +166,13 @@
             body.checkpoint,
             body.ticket,
         )
-        return _respond_to_order(self.worker.take_start(order))
+        return _respond_to_order(self.worker.handle_start_order(order))
 
     async def _stop(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=StopBody)
-        answer = self.worker.take_stop(
+        answer = self.worker.handle_stop_order(
             request.headers['Expected-Instance'],
-            parse_task(body.task),
+            parse_task_key(body.task),
             body.run,
             body.fencing_token,
         )
@@ -180,7 +180,7 @@
 
     async def _pace(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=PaceBody)
-        run = self.worker.runs.get((parse_task(body.task), body.run))
+        run = self.worker.runs.get((parse_task_key(body.task), body.run))
         if run is not None:
             run.set_pace(body.percent)
         return _respond(WorkerAnswerBody(self.worker.clock_ms))
@@ -188,7 +188,7 @@
     async def _hold(self, request: Request) -> Response:
         body = msgspec.json.decode(await request.body(), type=HoldBody)
         try:
-            report = await self.worker.take_hold(
+            report = await self.worker.handle_hold(
                 request.headers['Expected-Instance'],
                 body.fencing_token,
                 body.last_seen,
@@ -231,9 +231,9 @@
 
 
 def _respond_to_order(answer: OrderAnswer) -> Response:
-    if answer.outcome is StartOutcome.OTHER_LIFE:
+    if answer.outcome is OrderOutcome.OTHER_INCARNATION:
         return Response(status_code=421)
-    if answer.outcome is StartOutcome.STARTED:
+    if answer.outcome is OrderOutcome.STARTED:
         return _respond(WorkerAnswerBody(answer.clock_ms))
     reason = _REASONS_BY_OUTCOME.get(answer.outcome, '')
     return _respond(WorkerAnswerBody(answer.clock_ms, reason), 409)
@@ -266,7 +266,7 @@
         for number in range(self._worker_count):
             worker = self.platform.add_worker(f'w{number}')
             worker.address = await self._serve(WorkerApi(worker).make_app())
-            self.platform.beat(worker)
+            self.platform.publish_entry(worker)
         self._nursery.start_soon(self.platform.serve)
         return self
 
--- a/src/tulippin/row_table.py
+++ b/src/tulippin/row_table.py
@@ -7,7 +7,7 @@
 import attrs
 
 from tulippin.exceptions import AnswerLostError
-from tulippin.jobs._resolving import transact_surely
+from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs.ports import (
     RowCondition,
     RowStore,
@@ -70,7 +70,7 @@
                 for one in writes
             ),
         )
-        result = await transact_surely(
+        result = await transact_with_retries(
             self.store, transaction, _COMMIT_TIMEOUT_S
         )
         if not result.is_done and not conditions:
--- a/tests/tulippin/jobs/test_accounts.py
+++ b/tests/tulippin/jobs/test_accounts.py
@@ -11,12 +11,12 @@
 
 from fleet_of_schedulers import QUEUE, make_request, make_step, open_fleet
 from tulippin.codec_json import decode
-from tulippin.jobs._attempts import take_end
+from tulippin.jobs._attempts import apply_end
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._unseen import (
+    are_earlier_runs_confirmed,
     begin,
-    get_awaited_ms,
-    is_settled,
+    get_unconfirmed_ms,
     make_account,
 )
 from tulippin.jobs.core import make_state
@@ -125,7 +125,7 @@
     async def run():
         async with open_fleet(instances=2 + taker_count, workers=3) as fleet:
             serving, silent = await start_long_running_task(fleet)
-            silent.cut_off.add('*')
+            silent.unreachable_clients.add('*')
             await trio.sleep(8)
             await stop_planned(fleet, fleet.get_owner())
             serving.fail_all()
@@ -154,7 +154,7 @@
     async def run():
         async with open_fleet(instances=2 + taker_count, workers=3) as fleet:
             serving, _ = await start_long_running_task(fleet)
-            serving.cut_off.add('*')
+            serving.unreachable_clients.add('*')
             since_s = trio.current_time()
             await trio.sleep(0.2)
             await stop_planned(fleet, fleet.get_owner())
@@ -180,7 +180,7 @@
             await stop_planned(fleet, fleet.get_owner())
             await fleet.wait_owner()
             serving, _ = await start_long_running_task(fleet)
-            serving.cut_off.add('*')
+            serving.unreachable_clients.add('*')
             stalled_clients.update(fleet.instances)
             fleet.kill(fleet.get_owner())
             await stop_takers(fleet, stalled_clients, 1)
@@ -263,9 +263,9 @@
 def test_rostered_worker_not_in_valid_report_is_not_awaited():
     account = AccountRecord(3, {'reported': WorkerAccount(4000, ('a.0.0.0',))})
     state = make_state_with_report(account)
-    assert not state.workers['unreported'].may_run_anything
-    assert is_settled(state)
-    assert get_awaited_ms(state) == 4000
+    assert not state.workers['unreported'].may_run_any_task
+    assert are_earlier_runs_confirmed(state)
+    assert get_unconfirmed_ms(state) == 4000
 
 
 @pytest.mark.parametrize('epoch', [2, 4])
@@ -274,8 +274,8 @@
         epoch, {'reported': WorkerAccount(4000, ('a.0.0.0',))}
     )
     state = make_state_with_report(account)
-    assert state.workers['unreported'].may_run_anything
-    assert not is_settled(state)
+    assert state.workers['unreported'].may_run_any_task
+    assert not are_earlier_runs_confirmed(state)
 
 
 IS_END_REPORTED = {
@@ -295,7 +295,7 @@
     worker = state.workers['reported']
     worker.is_reconciled = True
     ended = EndedRun(1, TaskKey(JOB, 0, 0, 0), 1, outcome, checkpoint)
-    take_end(worker, ended, Context(state))
+    apply_end(worker, ended, Context(state))
     entry = make_account(Context(state)).workers['reported'].tasks
     wanted = checkpoint or IS_END_REPORTED.get(outcome, False)
     assert bool(entry) is bool(wanted)
--- a/tests/tulippin/jobs/test_final_review.py
+++ b/tests/tulippin/jobs/test_final_review.py
@@ -14,14 +14,14 @@
     QUEUE,
     make_attempt,
     make_job,
-    make_serving,
+    make_service_request,
     make_state,
 )
 from test_scheduler_headroom import LASTING as FLEET_LASTING
 from test_scheduler_headroom import WORKER_CORES, open_busy_fleet
 
 from fleet_of_schedulers import (
-    make_lasting,
+    make_long_running_request,
     make_request,
     make_step,
     open_fleet,
@@ -35,7 +35,7 @@
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.ports import StoredRow
-from tulippin.jobs.records import DemandRecord, LeaseRecord, UnitRoom
+from tulippin.jobs.records import DemandRecord, LeaseRecord, UnitCapacity
 from tulippin.jobs.state import Task
 from tulippin.jobs.types import Configuration, Service, TaskKey
 from tulippin.types import Resources
@@ -46,7 +46,7 @@
 
 def choose_worker(state, cores, **options):
     """Return the worker that is chosen for a new long-running task."""
-    step = attrs.evolve(make_serving(cpu=cores * CORE), **options)
+    step = attrs.evolve(make_service_request(cpu=cores * CORE), **options)
     job = make_job(state, 'new', state.now_ms, (step,))
     job.queue = LASTING
     return _choosing.choose(job, Task(TaskKey('new', 0, 0, 0)), step, state)
@@ -54,7 +54,7 @@
 
 def fill(state, numbers, cores):
     """Add a run of a long-running task to each of the given workers."""
-    step = make_serving(cpu=cores * CORE)
+    step = make_service_request(cpu=cores * CORE)
     for number in numbers:
         make_attempt(state.workers[f'w{number}'], step, 'old', number)
 
@@ -111,12 +111,12 @@
         async with open_busy_fleet(workers=4) as fleet:
             worker = fleet.platform.workers['w0']
             if not is_answered:
-                worker.late_orders_s = 0.1
-            request = make_lasting(40, 2 * CORE)
+                worker.start_order_delay_s = 0.1
+            request = make_long_running_request(40, 2 * CORE)
             await fleet.submit(f'{1:016x}', request, FLEET_LASTING)
             await wait_ordered(fleet, 'w0')
             await trio.sleep(3 if is_answered else 0.05)
-            worker.cut_off.add('*')
+            worker.unreachable_clients.add('*')
             await trio.sleep(2)
             if is_lost:
                 worker.crash()
@@ -147,7 +147,7 @@
     state = make_new_owner(8)
     for worker in state.workers.values():
         worker.entry = attrs.evolve(worker.entry, labels=frozenset({'ssd'}))
-    state.rooms[1] = UnitRoom(
+    state.unit_capacities[1] = UnitCapacity(
         80_000,
         0,
         largest_free=Resources(10_000, 64_000),
@@ -162,12 +162,12 @@
 @pytest.mark.parametrize('mean', [1e-100, 1e-150, 1e-200, 1e-270, 5e-324])
 def test_lease_with_tiny_demand_gives_finite_estimate(mean):
     record = DemandRecord('s', 0, mean, squares=1e27, cubes=1e27, count=1)
-    lease = LeaseRecord('i:1', 'i', 1, room=UnitRoom(demands=(record,)))
+    lease = LeaseRecord('i:1', 'i', 1, room=UnitCapacity(demands=(record,)))
     row = StoredRow('u', 'u1', 'lease', encode(lease), 1)
     restored = read_record(row, LeaseRecord)
     assert restored is not None
     state = make_state(2)
-    state.rooms[1] = restored.room
+    state.unit_capacities[1] = restored.room
     estimate = _demand.estimate('s', 0, 20_000, state)
     assert math.isfinite(estimate.place_millicores)
 
@@ -205,7 +205,7 @@
     for number in range(20):
         worker = choose_worker(state, 5)
         if worker is not None:
-            step = make_serving(cpu=5 * CORE)
+            step = make_service_request(cpu=5 * CORE)
             make_attempt(worker, step, 'new', number)
     free = [worker.free.cpu_millicores for worker in state.workers.values()]
     assert max(free) >= 12 * CORE, free
@@ -225,15 +225,15 @@
             await fleet.submit(waiting, request)
             await trio.sleep(1)
             worker = fleet.platform.workers['w1']
-            worker.cut_off.add('*')
+            worker.unreachable_clients.add('*')
             fleet.kill_owner()
             owner = await fleet.wait_owner()
             state = fleet.instances[owner].state
             with trio.fail_after(12):
-                while not state.is_settled:
+                while not state.are_earlier_runs_confirmed:
                     await trio.sleep(0.01)
             assert state.jobs[waiting].doubts == 1
-            worker.cut_off.clear()
+            worker.unreachable_clients.clear()
             with trio.fail_after(20):
                 while not state.workers['w1'].is_reconciled:
                     await trio.sleep(0.01)
--- a/tests/tulippin/jobs/test_foreign_rows.py
+++ b/tests/tulippin/jobs/test_foreign_rows.py
@@ -107,7 +107,7 @@
     return core.reduce(state, event)
 
 
-def pass_time(state, ms=3000, step_ms=50):
+def advance_ticks(state, ms=3000, step_ms=50):
     """Advance the time with ticks; return all effects."""
     effects = []
     for _ in range(0, ms, step_ms):
@@ -120,7 +120,7 @@
 def settle(state):
     """Let both workers answer and advance the time; return all effects."""
     effects = [*answer(state, 'w0'), *answer(state, 'w1')]
-    effects.extend(pass_time(state))
+    effects.extend(advance_ticks(state))
     return effects
 
 
@@ -185,10 +185,10 @@
 
 
 @pytest.mark.parametrize('key', ['', '.', 'a.b', 'a/b', '/', 'a/other', 'a/'])
-@pytest.mark.parametrize('is_guest', [False, True])
-def test_row_with_an_invalid_key_is_no_job(key, is_guest):
+@pytest.mark.parametrize('is_transferred', [False, True])
+def test_row_with_an_invalid_key_is_no_job(key, is_transferred):
     record = JobRecord(QUEUE, REQUEST)
-    if is_guest:
+    if is_transferred:
         record = GuestRecord(QUEUE, REQUEST, {'0.0.0': 1})
         key = f'{key}/guest'
     state = load([make_row(key, record), make_job_row()])
@@ -210,7 +210,7 @@
     row = make_job_row(JOB, version=200)
     core.reduce(state, JobsChanged(state.now_ms, (row,)))
     assert list_started(settle(state)) == []
-    assert state.jobs[JOB].is_past_unknown
+    assert state.jobs[JOB].is_progress_unknown
 
 
 def test_job_that_arrived_unreadable_starts_once_it_is_readable():
@@ -355,7 +355,7 @@
     state.now_ms += 50
     ended = EndedRun(1, key, 7, RunOutcome.FAILED, '')
     effects.extend(answer(state, 'w0', ended=[ended]))
-    effects.extend(pass_time(state))
+    effects.extend(advance_ticks(state))
     assert list_started(effects) == []
     assert list_committed(effects) == []
 
--- a/tests/tulippin/jobs/test_records.py
+++ b/tests/tulippin/jobs/test_records.py
@@ -15,19 +15,19 @@
     JOB,
     OTHER,
     QUEUE,
+    advance_ticks,
     answer,
     list_committed,
     list_started,
     load,
     make_job_row,
     make_row,
-    pass_time,
     settle,
 )
 
 from tulippin.codec_json import decode, encode
 from tulippin.jobs import _unseen, core
-from tulippin.jobs._accounts import make_known_writes
+from tulippin.jobs._accounts import make_release_writes
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._row_checks import find_fault, find_progress_fault
 from tulippin.jobs.effects import CommitProgress, ReleaseLease
@@ -39,7 +39,7 @@
     GuestRecord,
     JobRecord,
     LeaseRecord,
-    UnitRoom,
+    UnitCapacity,
     WorkerAccount,
 )
 from tulippin.jobs.types import (
@@ -64,7 +64,7 @@
 ]
 
 
-def read_back(record):
+def encode_and_validate(record):
     """Return a record as decoded from its row, and check that it is valid."""
     decoded = decode(encode(record), type(record))
     assert find_fault(decoded) == ''
@@ -79,10 +79,10 @@
 def write_account(account, state):
     """Return the release report as read from its row, if one is written."""
     shell = types.SimpleNamespace(state=state)
-    writes = trio.run(make_known_writes, make_release(account), shell)
+    writes = trio.run(make_release_writes, make_release(account), shell)
     for write in writes:
         if write.table == ACCOUNTS_TABLE:
-            return read_back(decode(write.value, AccountRecord))
+            return encode_and_validate(decode(write.value, AccountRecord))
     return None
 
 
@@ -103,10 +103,10 @@
         *answer(state, 'w1'),
         *answer(state, 'w0', [unknown_run, known_run]),
     ]
-    effects.extend(pass_time(state, 500))
+    effects.extend(advance_ticks(state, 500))
     (write,) = list_committed(effects)
     request = state.jobs[JOB].request
-    assert find_progress_fault(read_back(write.record), request) == ''
+    assert find_progress_fault(encode_and_validate(write.record), request) == ''
     assert write.record.started['0.0.1'] == (6, 'w0')
 
 
@@ -115,7 +115,7 @@
     state = load([make_job_row(JOB)])
     answer(state, 'w1')
     answer(state, 'w0')
-    for effect in pass_time(state, 300):
+    for effect in advance_ticks(state, 300):
         if isinstance(effect, CommitProgress):
             core.reduce(
                 state, ProgressCommitted(state.now_ms, effect, EPOCH_VERSION)
@@ -125,10 +125,10 @@
         EndedRun(1, key, 5, RunOutcome.FAILED, ''),
         EndedRun(2, TaskKey(JOB, 0, 0, 1), 6, RunOutcome.FAILED, ''),
     ]
-    effects = [*answer(state, 'w0', ended=ended), *pass_time(state, 500)]
+    effects = [*answer(state, 'w0', ended=ended), *advance_ticks(state, 500)]
     (write,) = list_committed(effects)
     request = state.jobs[JOB].request
-    assert find_progress_fault(read_back(write.record), request) == ''
+    assert find_progress_fault(encode_and_validate(write.record), request) == ''
     assert write.record.failures == {'0.0.1': [6]}
 
 
@@ -187,9 +187,9 @@
     answer(state, 'w1')
     key = TaskKey(JOB, 0, 0, 1)
     ended = EndedRun(1, key, 70_000, RunOutcome.DONE, '')
-    effects = [*answer(state, 'w0', ended=[ended]), *pass_time(state, 500)]
+    effects = [*answer(state, 'w0', ended=[ended]), *advance_ticks(state, 500)]
     (write,) = list_committed(effects)
-    record = read_back(write.record)
+    record = encode_and_validate(write.record)
     assert record.done == {'0.0': '2'}
     row = make_row(JOB, record, 20, 'progress0')
     successor = load([make_transfer_row()], [row])
@@ -264,15 +264,15 @@
 
 @pytest.mark.parametrize('fields', INVALID_CAPACITY_FIELDS)
 def test_lease_with_invalid_capacity_is_refused(fields):
-    lease = LeaseRecord('i:1', 'i', room=UnitRoom(**fields))
+    lease = LeaseRecord('i:1', 'i', room=UnitCapacity(**fields))
     assert find_fault(decode(encode(lease), LeaseRecord))
 
 
 def test_lease_with_more_reserved_than_capacity_is_valid():
-    room = UnitRoom(
+    room = UnitCapacity(
         16_000,
         20_000,
         largest_free=Resources(-4000, -100),
         largest_new_millicores=-4000,
     )
-    read_back(LeaseRecord('i:1', 'i', room=room))
+    encode_and_validate(LeaseRecord('i:1', 'i', room=room))
--- a/tests/tulippin/jobs/test_scheduler_units.py
+++ b/tests/tulippin/jobs/test_scheduler_units.py
@@ -7,7 +7,7 @@
 import trio
 
 from fleet_of_schedulers import (
-    PATIENT,
+    LOW_PRIORITY_QUEUE,
     QUEUE,
     make_request,
     make_step,
@@ -118,7 +118,7 @@
                 request = make_request(
                     make_step(3), run_ms=source.randrange(200, 3000)
                 )
-                queue = source.choice((QUEUE, PATIENT))
+                queue = source.choice((QUEUE, LOW_PRIORITY_QUEUE))
                 await submit(fleet, f'{number:016x}', request, queue)
                 await trio.sleep(source.random() * 0.4)
                 if number % 5:
@@ -198,7 +198,7 @@
 
 async def run_crashing_guest(fleet):
     """Transfer a crashing task to another unit; return the crash events."""
-    fleet.platform.back_after_ms = 1500
+    fleet.platform.restart_delay_ms = 1500
     await overfill_one_unit(fleet, 45)
     await fleet.wait_running(45)
     step = make_step(1, 10 * CORE, long_running=True)
@@ -229,7 +229,7 @@
 def test_without_failure_reports_the_job_would_not_fail(
     run_virtual, monkeypatch
 ):
-    monkeypatch.setattr(_lifecycle, '_tell_failed', lambda *_: None)
+    monkeypatch.setattr(_lifecycle, '_notify_failed', lambda *_: None)
 
     async def run():
         async with open_units() as fleet:
@@ -390,7 +390,7 @@
 
     def step(unit, event):
         original(unit, event)
-        if unit.is_held:
+        if unit.is_claimed:
             clock.jump(EVENT_COST_S)
 
     monkeypatch.setattr(UnitShell, 'step', step)
--- a/tests/tulippin/jobs/test_unknown_rooms_review.py
+++ b/tests/tulippin/jobs/test_unknown_rooms_review.py
@@ -28,7 +28,7 @@
     for number in (2, 3):
         key = slow.key._replace(index=number)
         state.tails.setdefault(key.job_id, {})[key] = (12.0, state.now_ms)
-    return _soundness._is_unwell(worker, Context(state))
+    return _soundness._is_unhealthy(worker, Context(state))
 
 
 def test_worker_of_unknown_capacity_is_not_judged_by_its_tails():
@@ -48,7 +48,11 @@
     worker = make_worker(KNOWN)
     state = make_state(worker)
     run = add_run(worker, 0, SERVES, 12.0)
-    usual_ms = _tails.get_idle_ms(run, state)
+    usual_ms = _tails.get_unloaded_tail_ms(run, state)
     for lowest_ms in (0.0, 1e-300, 1e-9):
         state.lowest_tails_ms['web'] = lowest_ms
-        assert TARGET_MS / 100 <= _tails.get_idle_ms(run, state) <= usual_ms
+        assert (
+            TARGET_MS / 100
+            <= _tails.get_unloaded_tail_ms(run, state)
+            <= usual_ms
+        )
--- a/tests/tulippin/jobs/test_worker_rooms.py
+++ b/tests/tulippin/jobs/test_worker_rooms.py
@@ -9,7 +9,7 @@
 import trio
 
 from fleet_of_schedulers import (
-    PATIENT,
+    LOW_PRIORITY_QUEUE,
     QUEUE,
     make_config_body,
     make_request,
@@ -56,7 +56,7 @@
             worker.resize(FULL if turn % 2 else SMALL)
         for part in range(5):
             # Urgent jobs preempt others, and stopping runs still count.
-            queue = PATIENT if part % 2 else QUEUE
+            queue = LOW_PRIORITY_QUEUE if part % 2 else QUEUE
             await submit_some(fleet, turn * 100 + part * 10, queue=queue)
             await trio.sleep(CHANGE_INTERVAL_S / 5)
 
@@ -87,7 +87,7 @@
 
 
 def test_outdated_capacity_would_be_exceeded(run_virtual, monkeypatch):
-    note_entry = _workers.note_entry
+    apply_entry = _workers.apply_entry
 
     def keep_capacity(entry, read_ms, context):
         known = context.state.workers.get(entry.worker_id)
@@ -100,14 +100,14 @@
             room,
             entry.labels,
         )
-        note_entry(changed, read_ms, context)
+        apply_entry(changed, read_ms, context)
 
-    monkeypatch.setattr(_workers, 'note_entry', keep_capacity)
+    monkeypatch.setattr(_workers, 'apply_entry', keep_capacity)
     assert find_overruns(run_virtual, run_capacity_changes)
 
 
 def test_ignoring_stopping_runs_would_exceed_capacity(run_virtual, monkeypatch):
-    has_room = Worker.has_room
+    has_capacity = Worker.has_capacity
 
     def count_running(worker, wanted):
         stopping = sum(
@@ -116,18 +116,18 @@
             if one.state.value == 'stopping'
         )
         remaining_millicores = wanted.cpu_millicores - stopping
-        return has_room(
+        return has_capacity(
             worker, Resources(max(0, remaining_millicores), wanted.memory_mb)
         )
 
-    monkeypatch.setattr(Worker, 'has_room', count_running)
+    monkeypatch.setattr(Worker, 'has_capacity', count_running)
 
     async def play(fleet):
         fleet.platform.configure(make_config(is_enforcing=False))
         for worker in fleet.platform.workers.values():
             worker.stop_ms = 600
         await trio.sleep(0.5)
-        await submit_some(fleet, 0, 20, PATIENT, run_ms=5000)
+        await submit_some(fleet, 0, 20, LOW_PRIORITY_QUEUE, run_ms=5000)
         await trio.sleep(1)
         await submit_some(fleet, 100, 10)
 
@@ -176,17 +176,17 @@
     state = make_state(make_worker(0, 2000, 5500), make_worker(1, 8000, 0))
     assert _rooms.measure(state).places[0] == 8
     assert _headroom.get_unoccupied(state.workers['w0']) == 2000
-    assert not state.workers['w0'].has_room(Resources(1, 0))
-    assert state.workers['w0'].has_room(Resources(-4000, 0))
+    assert not state.workers['w0'].has_capacity(Resources(1, 0))
+    assert state.workers['w0'].has_capacity(Resources(-4000, 0))
 
 
 def test_orphaned_runs_block_a_worker_that_does_not_enforce_capacity():
     state = make_state(make_worker(0, 8000, 0))
     worker = state.workers['w0']
-    worker.entry_ms = state.now_ms
+    worker.entry_read_ms = state.now_ms
     state.configuration = _read_configuration(is_enforcing=False)
     assert _feasibility.accepts_runs(worker, state)
-    worker.strays['task', 1] = 0
+    worker.orphaned_runs['task', 1] = 0
     assert not _feasibility.accepts_runs(worker, state)
     state.configuration = _read_configuration(is_enforcing=True)
     assert _feasibility.accepts_runs(worker, state)
--- a/tests/tulippin/test_failure_logging.py
+++ b/tests/tulippin/test_failure_logging.py
@@ -52,7 +52,7 @@
     ],
     ids=['unprintable', 'group', 'lone surrogate', 'long'],
 )
-def test_any_error_is_logged(told_failures, error):
+def test_any_error_is_logged(contained_failures, error):
     reader, writer = os.pipe()
     lines = LineBuffer(writer, {})
     with logbook.Flags(errors='raise'), lines.applicationbound():
@@ -65,4 +65,4 @@
     assert line['unit'] == 3
     assert 'in raise_error' in line['traceback']
     assert line['cause']
-    told_failures.clear()
+    contained_failures.clear()
