--- a/tests/tulippin/jobs/test_scheduler_lists.py
+++ b/tests/tulippin/jobs/test_scheduler_lists.py
@@ -64,7 +64,7 @@
 
 def test_no_run_is_started_on_unlisted_worker(run_virtual, monkeypatch):
     # The worker is alive and would accept tasks, but writes no entry.
-    monkeypatch.setattr(StandinPlatform, '_beat_all', lambda platform: None)
+    monkeypatch.setattr(StandinPlatform, '_publish_entries', lambda platform: None)
 
     async def run():
         async with open_fleet(workers=1) as fleet:
