--- a/bench/explain_day.py
+++ b/bench/explain_day.py
@@ -1,4 +1,4 @@
-"""Split the time of a played day's jobs by cause, from the logs.
+"""Split the time of a simulated day's jobs by cause, from the logs.
 
 Give it the instances' JSON lines, each with or without a prefix:
 
@@ -36,15 +36,15 @@
 
 
 def iter_lines(text):
-    """Yield the log's lines as maps, without what is not of ours."""
+    """Yield the JSON lines of a log as maps; skip other text."""
     for line in text.splitlines():
-        place = line.find(_START)
-        if place < 0:
+        start_index = line.find(_START)
+        if start_index < 0:
             continue
         try:
-            yield json.loads(line[place:])
+            yield json.loads(line[start_index:])
         except json.JSONDecodeError:
-            # Two processes' output may have met in one line.
+            # The output of two processes may be mixed in one line.
             continue
 
 
--- a/bench/hops.py
+++ b/bench/hops.py
@@ -107,9 +107,10 @@
 async def measure_idle_cpu_ms(handles):
     """Return the CPU ms that the daemons use per second without load."""
     before = sum(read_cpu_s(handle.pid) for handle in handles)
-    await trio.sleep(5)
+    interval_s = 5
+    await trio.sleep(interval_s)
     used_cpu_s = sum(read_cpu_s(handle.pid) for handle in handles) - before
-    return used_cpu_s * 1000 / 5
+    return used_cpu_s * 1000 / interval_s
 
 
 async def main():
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -129,20 +129,20 @@
     call_rng: random.Random
     job_rng: random.Random
     histogram: object = attrs.field(factory=make_histogram)
-    over_ms: float = 0.0
+    over_target_ms: float = 0.0
     calls: int = 0
-    counting: bool = False
+    is_counting_calls: bool = False
     stopped: bool = False
 
     async def call(self, service):
         began = trio.current_time()
         outcome = await self.fleet.request(service, deadline_ms=3000)
         latency_ms = (trio.current_time() - began) * 1000
-        if not self.counting or outcome.kind.value != 'answered':
+        if not self.is_counting_calls or outcome.kind.value != 'answered':
             return
         self.calls += 1
         self.histogram.record_value(int(latency_ms * 1000))
-        self.over_ms += max(0.0, latency_ms - self.deployment.target_ms)
+        self.over_target_ms += max(0.0, latency_ms - self.deployment.target_ms)
 
     async def send_calls(self, nursery):
         rate = self.deployment.calls_per_s * self.scenario.load
@@ -206,11 +206,10 @@
                     service,
                     'team',
                     JobKind.SERVICE,
-                    service,
-                    deployment.tasks_per_service,
-                    Resources(1000, 1000),
-                    0,
-                    SERVICE_PRIORITY,
+                    job_class=service,
+                    task_count=deployment.tasks_per_service,
+                    size=Resources(1000, 1000),
+                    priority=SERVICE_PRIORITY,
                 )
             )
         await trio.sleep(3)
@@ -227,12 +226,13 @@
             nursery.start_soon(run.submit_jobs)
             nursery.start_soon(run.cause_faults)
             await trio.sleep(WARM_UP_S)
-            run.counting = True
+            run.is_counting_calls = True
             counts_before = read_counts(fleet)
             await trio.sleep(run_s)
-            run.counting = False
+            run.is_counting_calls = False
             run.stopped = True
             counts_after = read_counts(fleet)
+            # Open calls end within their deadline of 3 s.
             nursery.cancel_scope.deadline = trio.current_time() + 4
     done, evicted, wasted = (
         new - old for new, old in zip(counts_after, counts_before, strict=True)
@@ -240,7 +240,7 @@
     return {
         'p99': run.histogram.get_value_at_percentile(99) / 1000,
         'p999': run.histogram.get_value_at_percentile(99.9) / 1000,
-        'over': run.over_ms / max(1, run.calls),
+        'over': run.over_target_ms / max(1, run.calls),
         'done': done,
         'evicted': evicted,
         'wasted': wasted / 1000,
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -29,11 +29,10 @@
                 'service',
                 'team',
                 JobKind.SERVICE,
-                'alerts',
-                24,
-                Resources(500, 512),
-                0,
-                SERVICE_PRIORITY,
+                job_class='alerts',
+                task_count=24,
+                size=Resources(500, 512),
+                priority=SERVICE_PRIORITY,
             )
         )
         await fleet.submit_surely(
--- a/bench/soak_jobs.py
+++ b/bench/soak_jobs.py
@@ -1,7 +1,7 @@
-"""Play seeded scenarios of the job scheduler in virtual time.
+"""Run seeded scenarios of the job scheduler in virtual time.
 
-Tasks that crash their workers, among other faults; prints each seed that
-shows what must never happen, or a job that did not end as it should.
+They contain faults, such as tasks that crash their workers. Prints each seed
+that violates an invariant or has a job that ends in a wrong state.
 """
 
 import argparse
@@ -34,10 +34,10 @@
     began = time.monotonic()
     failures = 0
     for seed in range(options.seed, options.seed + options.runs):
-        wrong = run(seed)
-        if wrong:
+        violations = run(seed)
+        if violations:
             failures += 1
-            print(f'seed {seed} fails: {wrong[:4]}', flush=True)
+            print(f'seed {seed} fails: {violations[:4]}', flush=True)
     took_s = time.monotonic() - began
     print(f'{options.runs} runs, {failures} failed, in {took_s:.0f} s')
     return min(failures, 1)
--- a/src/tulippin/_context.py
+++ b/src/tulippin/_context.py
@@ -18,8 +18,8 @@
 class Context:
     """One run of the reducer for one event.
 
-    Messages to the own session are handled in the same run, after the
-    event. Messages to peers are sent with one effect for each peer.
+    Messages to this instance's session are handled in the same run, after
+    the event. Messages to peers are sent with one effect for each peer.
     """
 
     state: State
@@ -64,7 +64,7 @@
         self.effects.append(effect)
 
     def send(self, session_id: str, message: t.Any) -> None:
-        """Send a message to the own session or to a peer's.
+        """Send a message to this instance's session or to a peer's.
 
         Messages to unknown sessions are dropped. So are all messages
         while the instance has no session, as they carry the sender's id.
--- a/src/tulippin/bundles.py
+++ b/src/tulippin/bundles.py
@@ -274,9 +274,9 @@
         )
 
     def _check_section_names(self) -> None:
-        known = ('policy ', 'service ', 'team ')
+        prefixes = ('policy ', 'service ', 'team ')
         for section in self._parser.sections():
-            if section in {'bundle', 'trial'} or section.startswith(known):
+            if section in {'bundle', 'trial'} or section.startswith(prefixes):
                 continue
             self._findings.append(
                 Finding(
--- a/src/tulippin/ini.py
+++ b/src/tulippin/ini.py
@@ -1,4 +1,4 @@
-"""Reading and checking of INI files; each finding names its place."""
+"""Reading and checking of INI files; each finding has its location."""
 
 from __future__ import annotations
 
--- a/src/tulippin/jobs/_balancing.py
+++ b/src/tulippin/jobs/_balancing.py
@@ -2,17 +2,17 @@
 
 Owners publish the capacity and load of their workers in their lease rows twice
 a second. Of two units drawn at random, the one with less load is chosen: with
-figures of that age, choosing the best of all units would send all jobs of half
-a second to the same unit.
+values up to half a second old, choosing the best of all units would send all
+jobs that arrive within that time to the same unit.
 
 If the first steps of a job reserve capacity, the two units are drawn from
 those where all their tasks fit. Long-running tasks fill a unit for minutes:
-with 6 of 16 units full, two random units were both full in 13% of draws, and
-as many of the urgent jobs never began in a lightly loaded deployment of 446
+with 6 of 16 units full, two random units are both full in 13% of draws, and
+13% of the urgent jobs never start in a lightly loaded deployment of 446
 workers.
 
 Opportunistic tasks wait for workers whose long-running tasks tolerate their
-image, so they go where least of their image waits.
+image, so they go to units with little demand for that image.
 """
 
 from __future__ import annotations
@@ -185,7 +185,7 @@
 def _accepts_jobs(unit: UnitShell) -> bool:
     """Whether a unit is loaded and has available workers."""
     is_loading = unit.lease is None or unit.lease.is_loading
-    return not is_loading and _get_room(unit).capacity_millicores > 0
+    return not is_loading and _get_capacity(unit).capacity_millicores > 0
 
 
 def _is_fresh(unit: UnitShell, now_ms: int) -> bool:
@@ -243,7 +243,7 @@
     serving = [
         number
         for number in numbers
-        if images <= set(_get_room(units[number]).images)
+        if images <= set(_get_capacity(units[number]).images)
         and loads[number] <= max_accepted
     ]
     return serving or numbers
@@ -277,22 +277,22 @@
 def _get_waiting(step: Step, unit: UnitShell, demands: Demands) -> int:
     """Return the demand for a step's image that waits in a unit or was sent."""
     sent = demands.images.get(unit.config.unit.number, {})
-    waiting_by_image = _get_room(unit).waiting_millicores
+    waiting_by_image = _get_capacity(unit).waiting_millicores
     return waiting_by_image.get(step.image, 0) + sent.get(step.image, 0)
 
 
 def _get_fitting_share(step: Step, unit: UnitShell, demands: Demands) -> float:
     """Return the share of a step's tasks that fit in a unit."""
     size = max(1, step.reserved.cpu_millicores)
-    sent = demands.reserved.get(unit.config.unit.number, 0) // size
-    found = _rooms.count_fitting(
-        _get_room(unit), size, is_short=not step.long_running
+    routed_count = demands.reserved.get(unit.config.unit.number, 0) // size
+    published_fit_count = _rooms.count_fitting(
+        _get_capacity(unit), size, is_short=not step.long_running
     )
-    fit_count = found - sent
+    fit_count = published_fit_count - routed_count
     return max(0, min(1, fit_count / step.task_count))
 
 
-def _get_room(unit: UnitShell) -> UnitRoom:
+def _get_capacity(unit: UnitShell) -> UnitRoom:
     """Return the published capacity of a unit, empty if it has no lease."""
     return unit.lease.room if unit.lease else UnitRoom()
 
@@ -300,7 +300,7 @@
 def _could_run(step: Step, unit: UnitShell) -> bool:
     """Whether a unit has workers with the label that a step requires."""
     return not step.required_label or (
-        step.required_label in _get_room(unit).labels
+        step.required_label in _get_capacity(unit).labels
     )
 
 
@@ -310,7 +310,7 @@
     With ``is_idle``, the load is that of opportunistic tasks.
     """
     number = unit.config.unit.number
-    room = _get_room(unit)
+    room = _get_capacity(unit)
     demand = room.reserved_millicores + demands.reserved.get(number, 0)
     if is_idle:
         demand = _IDLE_SHARE * demand + room.idle_millicores
--- a/src/tulippin/jobs/_crashes.py
+++ b/src/tulippin/jobs/_crashes.py
@@ -1,10 +1,11 @@
 """Counting worker crashes by task, to find tasks that crash their workers.
 
 A worker that crashes ends all of its runs, most of which didn't cause the
-crash. A task that crashes each of its workers costs one at each start, every
-3.5 s: without counting, two such jobs crash 144 workers in 100 s. Therefore
-each task records the workers (one record for each incarnation) that crashed
-soon after its run had begun, and suspected tasks are started in isolation:
+crash. A task that crashes each of its workers costs one worker at each start,
+every 3.5 s: if crashes are not counted, two such jobs crash 144 workers in
+100 s. Therefore each task records the workers (one record for each
+incarnation) that crashed soon after its run had begun, and suspected tasks are
+started in isolation:
 
 - A run that its worker has reported for five seconds is cleared, and so is
   one on a worker that left as planned.
@@ -12,13 +13,14 @@
   other runs on probation and where a crash loses least. After the second
   crash nothing else is started there during the probation, and no other
   suspected task of its job is started at all. This separates the crashing
-  task from those that ended with it: the next crash counts for it alone.
+  task from the others: the next crash is counted for the crashing task only.
 - The third crash abandons the job if during two of them nothing else had
   just begun on the worker, the fourth if that holds for one, and the fifth in
-  any case. Crashes count in full where the run or the worker was seen after
-  the order. A limit of two would abandon a job whose task ran beside a
-  crashing one and whose next worker crashed by itself. Each further start
-  costs a worker with little on it; up to five starts are acceptable.
+  any case. A crash counts in full only if the worker reported the run, or
+  answered after the order was sent. A limit of two would abandon a job whose
+  task ran beside a crashing one and whose next worker crashed by itself. Each
+  further start costs a worker with little on it; up to five starts are
+  acceptable.
 
 Crashes are made durable before the task is started again, and the assigned
 worker before the order of a suspected task is sent, so that the next owner
@@ -329,9 +331,9 @@
 def doubt(jobs: t.Iterable[Job], state: SchedulerState) -> None:
     """Count a possible lost start for jobs that may have crashed a worker.
 
-    No row records what an earlier owner started in its last moments, or while
-    the store accepted no writes. If a worker has crashed since, each waiting
-    short task without a record may have run there.
+    No row records the starts that an earlier owner made just before it ended
+    or while the store accepted no writes. If a worker has crashed since, each
+    waiting short task without a record may have run there.
 
     Parameters
     ----------
@@ -344,12 +346,12 @@
     if not (job_ids and _is_any_worker_lost(state)):
         return
     affected_ids = {
-        kind[0]: None
+        step_key[0]: None
         for queue in (state.ready, state.ready_idle)
-        for kind, tasks in queue.items()
-        if kind[0] in job_ids
+        for step_key, tasks in queue.items()
+        if step_key[0] in job_ids
         and any(
-            _may_have_lost_start(state.jobs[kind[0]], task, state)
+            _may_have_lost_start(state.jobs[step_key[0]], task, state)
             for task in tasks.values()
         )
     }
--- a/src/tulippin/jobs/_feasibility.py
+++ b/src/tulippin/jobs/_feasibility.py
@@ -86,7 +86,7 @@
 
 
 def _is_capacity_confirmed(worker: Worker, state: SchedulerState) -> bool:
-    """Whether a worker's capacity and runs are known well enough.
+    """Whether a worker enforces its capacity or has a current entry.
 
     Workers that don't enforce their capacity start whatever they are ordered
     to. Nothing is started there on an outdated entry, as while the store is
--- a/src/tulippin/jobs/_interference.py
+++ b/src/tulippin/jobs/_interference.py
@@ -56,8 +56,9 @@
 # how long a task started now works, and the error of the prediction.
 _PREDICTION_MS: t.Final = 1500
 _PREDICTION_ERROR: t.Final = 0.02
-# Excess that does no harm at any load: a pair that does not disturb is
-# learned to within 0.02 a tenth.
+# Excess up to which a run does not count as disturbing, at any load: for a pair
+# that does not disturb, the model's error is at most 0.02 per tenth of the
+# worker's processors.
 _NEGLIGIBLE_EXCESS: t.Final = 0.035
 # Keeps ratios to a slack of about 0 finite.
 _MIN_SLACK: t.Final = 0.02
@@ -467,17 +468,17 @@
 def compute_borne_share(
     step: Step, count: int, worker: Worker, state: SchedulerState
 ) -> float:
-    """Return the pace, from 0 to 1, at which a number of runs is tolerated.
+    """Return the pace, from 0 to 1, at which images tolerate ``count`` runs.
 
     It is 1 for a task that disturbs no image on the worker, and 0 if the
     worker's capacity is not known.
     """
-    share = get_share(step, worker)
-    if share is None:
+    tenths = get_share(step, worker)
+    if tenths is None:
         return 0.0
     tolerated = 1.0
     for image, slack in get_slack(worker, state).items():
-        excess = state.model.get_bound(image, step.image) * share
+        excess = state.model.get_bound(image, step.image) * tenths
         if excess > _NEGLIGIBLE_EXCESS:
             tolerated = min(tolerated, slack / (excess * count))
     return max(0.0, tolerated)
--- a/src/tulippin/jobs/_passing.py
+++ b/src/tulippin/jobs/_passing.py
@@ -146,30 +146,30 @@
 ) -> None:
     """Assign a task to another unit; it is notified once that is durable."""
     state = context.state
-    number = (
+    transfer_number = (
         max(job.passes.get(task.key, 0), _get_last_transfer(job, task.key)) + 1
     )
-    # Runs are numbered by epoch, so numbers of the next epoch are above all
-    # runs of this unit.
+    # Run numbers grow with the epoch, so those of the next epoch are higher
+    # than all run numbers of this unit.
     least_run = task.least_run + (context.fencing_token + 1) * RUNS_PER_EPOCH
-    job.passed[task.key] = PassedTask(unit, number, least_run)
+    job.passed[task.key] = PassedTask(unit, transfer_number, least_run)
     _ready.remove(task.key, step, state)
     if not _lifecycle.is_here(job, _lifecycle.get_first_task(job)):
         # From here on the other unit reports whether the job has begun.
         _lifecycle.mark_begun(job, state)
     _lifecycle.mark_dirty(job, state)
-    room = state.rooms[unit]
-    reserved = room.reserved_millicores + step.size.cpu_millicores
-    state.rooms[unit] = attrs.evolve(room, reserved_millicores=reserved)
+    capacity = state.rooms[unit]
+    reserved = capacity.reserved_millicores + step.size.cpu_millicores
+    state.rooms[unit] = attrs.evolve(capacity, reserved_millicores=reserved)
     state.count('tasks_passed')
     context.log(
         'pass task',
         task=task.key.format(),
         to_unit=unit,
-        pass_number=number,
+        pass_number=transfer_number,
         waited_ms=state.now_ms - task.ready_ms,
         reserved_there=reserved,
-        capacity_there=room.capacity_millicores,
+        capacity_there=capacity.capacity_millicores,
     )
 
 
--- a/src/tulippin/jobs/_ready.py
+++ b/src/tulippin/jobs/_ready.py
@@ -73,7 +73,7 @@
 
     Its users have lost a service that they had, whereas users of a task that
     never ran wait as for any new work. While it is unknown which tasks of a
-    resumed job ran, all of them count.
+    resumed job ran, all of them count as having run.
     """
     return task.has_run or (job.is_resumed and not job.knows_begun)
 
--- a/src/tulippin/jobs/_row_checks.py
+++ b/src/tulippin/jobs/_row_checks.py
@@ -38,10 +38,12 @@
 from tulippin.types import Resources
 
 _TASK_NAME: t.Final = re.compile(r'[0-9]{1,9}\.[0-9]{1,9}\.[0-9]{1,9}')
+# ``OCCURRENCE.STEP``, the key of a step in a progress record. Its value is a
+# hexadecimal bitmap of tasks.
 _STEP_NAME: t.Final = re.compile(r'[0-9]{1,9}\.[0-9]{1,9}')
-_BITS: t.Final = re.compile('[0-9a-f]+')
+_BITMAP: t.Final = re.compile('[0-9a-f]+')
 _JOB_ID: t.Final = re.compile('[^./]+')
-_HEX: t.Final = 16
+_HEX_BASE: t.Final = 16
 # A job with more tasks would fill an owner's memory before its first one runs.
 MOST_TASKS: t.Final = 1_000_000
 # Maximum amount of a resource, also of a worker's capacity: far above any
@@ -185,13 +187,13 @@
 
 def find_progress_fault(record: ProgressRecord, request: JobRequest) -> str:
     """Return why a progress record does not match its job; empty if it does."""
-    for name, bits in (*record.done.items(), *(record.begun or {}).items()):
-        if not _STEP_NAME.fullmatch(name) or not _BITS.fullmatch(bits):
+    for name, bitmap in (*record.done.items(), *(record.begun or {}).items()):
+        if not _STEP_NAME.fullmatch(name) or not _BITMAP.fullmatch(bitmap):
             return f'malformed entry for step {name!r}'
         key = parse_task(f'-.{name}.0')
         if not has_task(request, key):
             return f'it names unknown step {name!r}'
-        if int(bits, _HEX) >> request.steps[key.step].task_count:
+        if int(bitmap, _HEX_BASE) >> request.steps[key.step].task_count:
             return f'it lists more tasks of step {name} than there are'
     if any(min(passed) < 0 for passed in record.passed.values()):
         return 'the target unit of a transfer is negative'
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -90,26 +90,26 @@
         self._has_unit = trio.Event()
         self._is_leaving = False
         self._nursery: trio.Nursery | None = None
-        self._manager: t.Any = None
+        self._nursery_manager: t.Any = None
         self._demands = _balancing.Demands(random.Random(config.session_id))
 
     async def __aenter__(self) -> t.Self:
         """Start the scheduler."""
-        self._manager = trio.open_nursery()
-        self._nursery = await self._manager.__aenter__()
-        for what, task in (
+        self._nursery_manager = trio.open_nursery()
+        self._nursery = await self._nursery_manager.__aenter__()
+        for name, task in (
             ('tick', self._tick),
             ('loop', self._run),
             ('configuration', self._follow_configuration),
             ('units', UnitWatch(self).run),
         ):
-            self._nursery.start_soon(keep_running, what, task)
+            self._nursery.start_soon(keep_running, name, task)
         return self
 
     async def __aexit__(self, *details: t.Any) -> None:
         """Stop immediately, without releasing any unit."""
         self._nursery.cancel_scope.cancel()
-        await self._manager.__aexit__(*details)
+        await self._nursery_manager.__aexit__(*details)
 
     @property
     def has_seen_units(self) -> bool:
--- a/src/tulippin/platform/callers.py
+++ b/src/tulippin/platform/callers.py
@@ -232,7 +232,7 @@
         self, intake: JobIntake, get_unready: t.Callable[[], str]
     ) -> None:
         self._intake = intake
-        self._get_unready = get_unready
+        self._get_unready_reason = get_unready
         self.is_closing = False
 
     async def __call__(
@@ -242,7 +242,7 @@
         if scope['type'] != 'http':
             raise NotImplementedError(scope['type'])
         if scope['path'] == _READY_PATH:
-            reply = Reply(_UNAVAILABLE if self._get_unready() else 200)
+            reply = Reply(_UNAVAILABLE if self._get_unready_reason() else 200)
         else:
             reply = await self._handle_or_report(scope, receive)
         await self._send(reply, send)
--- a/src/tulippin/platform/standin_worker.py
+++ b/src/tulippin/platform/standin_worker.py
@@ -93,8 +93,8 @@
     stops_at_ms: int | None = None
 
     @property
-    def is_crashing(self) -> bool:
-        """Whether it is time for the run to crash its worker."""
+    def is_crash_due(self) -> bool:
+        """Whether the time at which the run crashes its worker has come."""
         after_ms = self.plan.crashes_after_ms
         return after_ms is not None and (
             get_now_ms() >= self.started_ms + after_ms
@@ -253,7 +253,7 @@
     def _list_crashing(self) -> list[tuple[TaskKey, int]]:
         """Return the first run that is due to crash the worker, if any."""
         crashing = [
-            run_key for run_key, run in self.runs.items() if run.is_crashing
+            run_key for run_key, run in self.runs.items() if run.is_crash_due
         ]
         return crashing[:1]
 
--- a/src/tulippin/platform/store.py
+++ b/src/tulippin/platform/store.py
@@ -105,8 +105,8 @@
             page = await self._get_page(table, part, first, end)
             rows.extend(decode_row(body) for body in page.rows)
             if version is None:
-                # Later pages don't show changes made since to rows of the
-                # first page; a feed from its version does.
+                # Rows of the first page may change while later pages are
+                # read; a feed from the first page's version has the changes.
                 version = page.version
             if not page.more:
                 return RowPage(tuple(rows), version)
--- a/src/tulippin/platform/workers.py
+++ b/src/tulippin/platform/workers.py
@@ -38,7 +38,7 @@
 
 _OK: t.Final = 200
 _CONFLICT: t.Final = 409
-_OTHER_INCARNATION: t.Final = 421
+_OTHER_INCARNATION_STATUS: t.Final = 421
 _UNHEALTHY_STATUSES: t.Final = frozenset((429, 503))
 _FENCED_REASON: t.Final = 'fence'
 _OUTCOMES_BY_REASON: t.Final = {
@@ -151,7 +151,7 @@
         """
         body = HoldBody(fencing_token, last_seen, deadline_ms, wait_ms)
         answer = await self._send(worker_id, address, '/v1/hold', body, wait_ms)
-        if answer.status == _OTHER_INCARNATION:
+        if answer.status == _OTHER_INCARNATION_STATUS:
             raise WorkerChangedError(
                 f'{address} has another incarnation of the worker'
             )
@@ -184,7 +184,7 @@
             return OrderAnswer(StartOutcome.UNKNOWN)
         except UnavailableError:
             return OrderAnswer(StartOutcome.NOT_SENT)
-        return _decode_order(answer)
+        return _decode_order_answer(answer)
 
     async def _send(
         self,
@@ -219,8 +219,8 @@
         ) from error
 
 
-def _decode_order(answer: HttpAnswer) -> OrderAnswer:
-    if answer.status == _OTHER_INCARNATION:
+def _decode_order_answer(answer: HttpAnswer) -> OrderAnswer:
+    if answer.status == _OTHER_INCARNATION_STATUS:
         return OrderAnswer(StartOutcome.OTHER_LIFE)
     if answer.status in _UNHEALTHY_STATUSES:
         return OrderAnswer(StartOutcome.UNHEALTHY)
--- a/src/tulippin/scheduler_daemon.py
+++ b/src/tulippin/scheduler_daemon.py
@@ -45,12 +45,13 @@
 _MS_PER_S: t.Final = 1000
 # An owner writes about 300 lines a second into a buffer of 8,000.
 _FLUSH_INTERVAL_S: t.Final = 0.25
-# At exit the buffer holds the last lines before the end; a reader of normal
-# speed consumes a full buffer in this time.
+# Time for which a process that exits waits until its buffered log lines are
+# read; a full buffer is usually read in this time.
 _LOG_DRAIN_TIMEOUT_S: t.Final = 1.0
-# The store answers in 4 to 9 ms, and in 300 ms when it is slow.
+# Timeout of a request to the store, which answers in 4 to 9 ms, or in 300 ms
+# when it is slow.
 _STORE_TIMEOUT_S: t.Final = 0.9
-_STORE_CONNECTIONS: t.Final = 24
+_MAX_STORE_CONNECTIONS: t.Final = 24
 # Maximum wait for the record of the previous process before the units are
 # read: a store that takes longer would not return the units either.
 _PREVIOUS_RECORD_TIMEOUT_S: t.Final = 0.4
@@ -58,7 +59,7 @@
 _FAILURE_WRITE_TIMEOUT_S: t.Final = 0.3
 # A worker answers in a few ms; requests without an answer are repeated.
 _WORKER_TIMEOUT_S: t.Final = 0.7
-_WORKER_CONNECTIONS: t.Final = 10
+_MAX_WORKER_CONNECTIONS: t.Final = 10
 # Time for the load balancer to notice that the instance is not ready: it
 # checks once a second and acts on the second failure.
 _BALANCER_NOTICE_S: t.Final = 2.6
@@ -74,9 +75,9 @@
 _RELOADABLE_SETTINGS: t.Final = frozenset(
     ('store_address', 'grace_ms', 'operators', 'log_level')
 )
-# Thresholds of Python's cyclic garbage collector. Reference counting frees
-# nearly all garbage; with the default of 700 new objects, an owner of 37
-# workers spends 529 us per start instead of 484
+# Thresholds of Python's cyclic garbage collector, the first in new objects.
+# Reference counting frees nearly all garbage; with the default of 700, an owner
+# of 37 workers needs 529 us per start instead of 484 us
 # (`bench/unit_load.py --workers 37`).
 _GC_THRESHOLDS: t.Final = (20_000, 20, 20)
 _USAGE: t.Final = 'usage: tulippin-instance SETTINGS.ini'
@@ -191,7 +192,7 @@
     async def run(self, task_status: t.Any = trio.TASK_STATUS_IGNORED) -> None:
         """Run the instance until a planned stop is complete."""
         async with contextlib.AsyncExitStack() as stack:
-            shell, recorder = await self._open(stack)
+            shell, recorder = await self._create_components(stack)
             nursery = await stack.enter_async_context(trio.open_nursery())
             self._start_tasks(nursery, recorder)
             app = CallersApp(JobIntake(shell), self.get_unready)
@@ -241,27 +242,27 @@
         )
         return api.make_app()
 
-    async def _open(
+    async def _create_components(
         self, stack: contextlib.AsyncExitStack
     ) -> tuple[SchedulerShell, ProcessRecorder]:
         """Create the clients, the shell and the process recorder."""
         settings = self.settings
         client = await stack.enter_async_context(
-            HttpClient(_STORE_TIMEOUT_S, _STORE_CONNECTIONS)
+            HttpClient(_STORE_TIMEOUT_S, _MAX_STORE_CONNECTIONS)
         )
         store = self._store = PlatformStore(settings.store_address, client)
         workers = PlatformWorkers(
-            lambda: HttpClient(_WORKER_TIMEOUT_S, _WORKER_CONNECTIONS)
+            lambda: HttpClient(_WORKER_TIMEOUT_S, _MAX_WORKER_CONNECTIONS)
         )
-        limit_ms = settings.worker_lease_limit_ms
+        lease_limit_ms = settings.worker_lease_limit_ms
         config = SchedulerConfig(
             settings.instance_id,
             f'{settings.instance_id}:{uuid.uuid4().hex[:8]}',
             processor_share=settings.processor_share,
-            worker_lease_limit_ms=limit_ms,
+            worker_lease_limit_ms=lease_limit_ms,
             worker_lease_ms=min(
                 SchedulerConfig.__attrs_attrs__.worker_lease_ms.default,
-                limit_ms,
+                lease_limit_ms,
             ),
         )
         self._shell = SchedulerShell(
@@ -387,7 +388,7 @@
         line, as all other output, in place of the interpreter's traceback.
     """
     settings = load_scheduler_settings(path)
-    # Objects loaded so far are never garbage.
+    # Objects loaded so far never become garbage: exclude them from collection.
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
     lines = LineBuffer(
--- a/src/tulippin/scheduler_operators.py
+++ b/src/tulippin/scheduler_operators.py
@@ -128,7 +128,7 @@
         get_unready: t.Callable[[], str],
     ) -> None:
         self._shell = shell
-        self._get_unready = get_unready
+        self._get_unready_reason = get_unready
         self._recorder = recorder
         self._metrics = SchedulerMetrics(shell, recorder)
         self._bundles = BundleStore(RowTable(shell.ports.store), keys)
@@ -152,7 +152,7 @@
                 Route('/v1/model', self._show_model),
                 Route('/v1/dump', self._dump),
                 Route('/metrics', self._get_metrics),
-                *make_health_routes(self._get_unready),
+                *make_health_routes(self._get_unready_reason),
             ]
         )
 
--- a/src/tulippin/scheduler_process_records.py
+++ b/src/tulippin/scheduler_process_records.py
@@ -1,9 +1,9 @@
 """Records in the store how the processes of an instance begin and end.
 
-A killed process logs nothing, and a failed one logs to a place that its
-successor doesn't read. One row in the store shows each start how the previous
-process ended, and how many in a row ended within seconds. It is advisory:
-without the row an instance starts and works as with it.
+A killed process logs nothing, and the next process doesn't read the log of a
+failed one. A row in the store tells each new process how the previous one
+ended, and how many in a row ended within seconds. It is advisory: an instance
+starts and works in the same way without it.
 """
 
 from __future__ import annotations
@@ -124,8 +124,8 @@
 @find_fault.register
 def _check_record(record: ProcessRecord) -> str:
     """Return why a record is invalid, or an empty string."""
-    times = (record.began_ms, record.ended_ms)
-    if any(abs(one) > _MAX_NUMBER for one in times):
+    times_ms = (record.began_ms, record.ended_ms)
+    if any(abs(time_ms) > _MAX_NUMBER for time_ms in times_ms):
         return 'its times are out of range'
     if not 0 <= record.failed_starts <= _MAX_NUMBER:
         return f'its count of failed starts is {record.failed_starts}'
@@ -293,8 +293,9 @@
     async def _put_over_conflict(self) -> None:
         """Write the record, also if the version of its row has changed.
 
-        A write without an answer leaves the version unknown; this reads the
-        row that the failed write met, and writes again if that is allowed.
+        A write without an answer leaves the version unknown. The conflicting
+        row is checked, and the record is written again if it may replace
+        that row.
         """
         result = await self._put()
         if result.is_done:
--- a/src/tulippin/stats.py
+++ b/src/tulippin/stats.py
@@ -17,6 +17,7 @@
 from tulippin.latency_histograms import make_histogram
 
 _MAX_WINDOWS: t.Final = 5000
+# Minimum number of blocks in which both policies have a value.
 _MIN_PAIRS: t.Final = 6
 _CONFIDENCE_Z_SCORE: t.Final = 1.96
 
@@ -291,7 +292,7 @@
 
 def _compare_measure(
     measure: str,
-    getter: t.Callable[[WindowStats], float | None],
+    get_value: t.Callable[[WindowStats], float | None],
     blocks: t.Mapping[tuple[str, int], t.Mapping[str, WindowStats]],
     first: str,
     second: str,
@@ -300,7 +301,7 @@
     for block in blocks.values():
         if first not in block or second not in block:
             continue
-        left, right = getter(block[first]), getter(block[second])
+        left, right = get_value(block[first]), get_value(block[second])
         if left is not None and right is not None:
             differences.append(left - right)
     mean = statistics.fmean(differences) if differences else 0.0
--- a/tests/tulippin/jobs/test_final_review.py
+++ b/tests/tulippin/jobs/test_final_review.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 from test_headroom import LASTING
-from test_headroom_review import ask
+from test_headroom_review import add_demand
 from test_scheduler_decisions import (
     QUEUE,
     make_attempt,
@@ -196,12 +196,12 @@
 
 # Guards against large short tasks that fit nowhere because most workers are
 # small.
-@pytest.mark.parametrize('small', [0, 5])
-def test_headroom_is_kept_for_size_of_few_workers(small):
-    state = make_new_owner(4 + small)
+@pytest.mark.parametrize('small_count', [0, 5])
+def test_headroom_is_kept_on_few_large_workers(small_count):
+    state = make_new_owner(4 + small_count)
     resize(state, range(4), 16)
-    resize(state, range(4, 4 + small), 4)
-    ask(state, 12, 12)
+    resize(state, range(4, 4 + small_count), 4)
+    add_demand(state, 12, 12)
     for number in range(20):
         worker = choose_worker(state, 5)
         if worker is not None:
--- a/tests/tulippin/jobs/test_foreign_units.py
+++ b/tests/tulippin/jobs/test_foreign_units.py
@@ -454,7 +454,7 @@
 
 
 @pytest.mark.parametrize('name', sorted(INVALID_HOMES))
-def test_job_with_an_unreadable_home_is_unavailable(run_virtual, name):
+def test_job_with_invalid_home_record_is_unavailable(run_virtual, name):
     async def run():
         async with open_fleet() as fleet:
             store = fleet.platform.store
@@ -514,7 +514,7 @@
     run_virtual(run)
 
 
-def test_progress_of_another_job_changes_nothing(run_virtual):
+def test_progress_row_with_invalid_job_id_is_ignored(run_virtual):
     async def run():
         async with open_fleet() as fleet:
             store = fleet.platform.store
--- a/tests/tulippin/jobs/test_headroom_review.py
+++ b/tests/tulippin/jobs/test_headroom_review.py
@@ -70,7 +70,7 @@
     return _headroom.find_headroom(job, task, step, state)
 
 
-def ask(state, cores, size_cores, estimated_ms=1000, count=200):
+def add_demand(state, cores, size_cores, estimated_ms=1000, count=200):
     """Add the demand of short tasks of a size that use ``cores`` on average."""
     step = Step(
         1, Resources(size_cores * CORE, 1000), estimated_ms=estimated_ms
@@ -138,7 +138,7 @@
 # Guards against headroom kept on the only workers that fit a job.
 def test_job_starts_on_one_of_two_empty_workers_of_a_half_empty_service():
     state = make_state(8)
-    ask(state, 40, 6)
+    add_demand(state, 40, 6)
     for number in range(6):
         worker = state.workers[f'w{number}']
         make_attempt(worker, make_serving(cpu=6 * CORE), 'a', number)
@@ -215,7 +215,7 @@
 # Guards against a demand of zero because no short task has ended yet.
 def test_short_tasks_of_unknown_run_time_count():
     state = make_state(4)
-    ask(state, 10, 5, estimated_ms=0)
+    add_demand(state, 10, 5, estimated_ms=0)
     fill_half(state)
     headroom = find_headroom_of_new(state)
     assert headroom is not None
@@ -311,7 +311,7 @@
     for _ in range(25):
         state = make_state(source.randint(1, 10))
         size = source.randint(2, CORES)
-        ask(state, source.randint(1, 40), size, count=60)
+        add_demand(state, source.randint(1, 40), size, count=60)
         for number, worker in enumerate(state.workers.values()):
             used = source.choice([0, 0, 3, 5, 6])
             if used:
--- a/tests/tulippin/jobs/test_loading_leases.py
+++ b/tests/tulippin/jobs/test_loading_leases.py
@@ -59,7 +59,7 @@
     fleet.kill(name)
 
 
-async def find_loading(fleet):
+async def wait_loading(fleet):
     with trio.fail_after(6):
         while True:
             for name, instance in fleet.instances.items():
@@ -80,19 +80,19 @@
     return counts
 
 
-@pytest.mark.parametrize('is_planned', [True, False])
+@pytest.mark.parametrize('is_planned_stop', [True, False])
 def test_waiting_jobs_are_counted_while_unit_loads_slowly(
-    run_virtual, stalled_clients, is_planned
+    run_virtual, stalled_clients, is_planned_stop
 ):
     async def run():
         async with open_fleet(instances=3, workers=1) as fleet:
             await submit_waiting(fleet, 4)
             stalled_clients.update(fleet.instances)
-            if is_planned:
+            if is_planned_stop:
                 await stop_planned(fleet, fleet.get_owner())
             else:
                 fleet.kill(fleet.get_owner())
-            await find_loading(fleet)
+            await wait_loading(fleet)
             counts = await watch_waiting(fleet, 2.5)
             stalled_clients.clear()
             return counts | await watch_waiting(fleet, 2)
@@ -108,7 +108,7 @@
             await submit_waiting(fleet, 4)
             stalled_clients.update(fleet.instances)
             await stop_planned(fleet, fleet.get_owner())
-            await stop_planned(fleet, await find_loading(fleet))
+            await stop_planned(fleet, await wait_loading(fleet))
             counts = await watch_waiting(fleet, 2)
             stalled_clients.clear()
             return counts | await watch_waiting(fleet, 2)
@@ -122,7 +122,7 @@
             await trio.sleep(2)
             stalled_clients.update(fleet.instances)
             await stop_planned(fleet, fleet.get_owner())
-            name = await find_loading(fleet)
+            name = await wait_loading(fleet)
             await trio.sleep(1.2)
             loading = fleet.instances[name].shell.units[0].lease
             stalled_clients.clear()
--- a/tests/tulippin/jobs/test_scheduler_fleet.py
+++ b/tests/tulippin/jobs/test_scheduler_fleet.py
@@ -27,15 +27,15 @@
 from tulippin.platform.standin import check_history
 from tulippin.platform.standin_store import StoreView
 
-LIMIT_MS = 3000
+CALL_DEADLINE_MS = 3000
 JOB = '00000000000000aa'
-OTHER = '00000000000000bb'
+OTHER_JOB = '00000000000000bb'
 
 
 async def submit(fleet, job_id=JOB, queue=QUEUE, request=None, by=None):
     name = by or next(iter(fleet.instances))
     await fleet.instances[name].intake.submit(
-        job_id, queue, request or make_request(), LIMIT_MS
+        job_id, queue, request or make_request(), CALL_DEADLINE_MS
     )
 
 
@@ -96,7 +96,7 @@
                 accepted.append(number)
 
             fleet.platform.store.trouble.write_s = 0.3
-            with trio.move_on_after(LIMIT_MS / 1000):
+            with trio.move_on_after(CALL_DEADLINE_MS / 1000):
                 async with trio.open_nursery() as nursery:
                     for number in range(count):
                         nursery.start_soon(try_one, number)
@@ -160,7 +160,7 @@
         async with open_fleet() as fleet:
             intake = fleet.instances['i0'].intake
             assert await intake.get_state(JOB) is None
-            assert not await intake.cancel(JOB, QUEUE, LIMIT_MS)
+            assert not await intake.cancel(JOB, QUEUE, CALL_DEADLINE_MS)
 
     run_virtual(run)
 
@@ -225,10 +225,10 @@
     """Suspend the owner for longer than its lease; return its unit."""
     await submit(fleet, request=make_request(make_step(3), run_ms=9000))
     await fleet.wait_running(3)
-    frozen = fleet.instances[fleet.get_owner()].shell.units[0]
-    frozen.state.now_ms -= 9000
-    frozen.state.ownership.renewed_ms = frozen.clock() + 60_000
-    return frozen
+    suspended = fleet.instances[fleet.get_owner()].shell.units[0]
+    suspended.state.now_ms -= 9000
+    suspended.state.ownership.renewed_ms = suspended.clock() + 60_000
+    return suspended
 
 
 def test_waiting_jobs_are_counted_during_handover(
@@ -255,13 +255,13 @@
 def test_suspended_owner_orders_nothing_until_confirmed(run_virtual):
     async def run():
         async with open_fleet(instances=2) as fleet:
-            frozen = await suspend_owner(fleet)
+            suspended = await suspend_owner(fleet)
             await trio.sleep(0.3)
-            assert frozen.state.ownership.must_confirm
-            await submit(fleet, OTHER)
+            assert suspended.state.ownership.must_confirm
+            await submit(fleet, OTHER_JOB)
             await trio.sleep(1)
             started = {event.key.job_id for event in fleet.platform.history}
-            assert OTHER not in started
+            assert OTHER_JOB not in started
 
     run_virtual(run)
 
@@ -272,10 +272,10 @@
     async def run():
         async with open_fleet(instances=2) as fleet:
             await suspend_owner(fleet)
-            await submit(fleet, OTHER)
+            await submit(fleet, OTHER_JOB)
             await trio.sleep(1)
             started = {event.key.job_id for event in fleet.platform.history}
-            assert OTHER in started
+            assert OTHER_JOB in started
 
     run_virtual(run)
 
@@ -351,8 +351,8 @@
             worker.cut_off.add('*')
             await trio.sleep(8)
             worker.cut_off.clear()
-            await submit(fleet, OTHER)
-            await fleet.wait_done(OTHER, limit_s=4)
+            await submit(fleet, OTHER_JOB)
+            await fleet.wait_done(OTHER_JOB, limit_s=4)
             fleet.check()
 
     run_virtual(run)
@@ -397,7 +397,7 @@
             )
             await fleet.wait_running(3)
             intake = fleet.instances['i1'].intake
-            assert await intake.cancel(JOB, QUEUE, LIMIT_MS)
+            assert await intake.cancel(JOB, QUEUE, CALL_DEADLINE_MS)
             await trio.sleep(1)
             assert not fleet.count_running()
             await fleet.wait_state(JOB, JobState.CANCELLED)
@@ -414,7 +414,7 @@
             await fleet.wait_running(3)
             fleet.platform.store.trouble.deaf_feeds = True
             intake = fleet.instances['i1'].intake
-            assert await intake.cancel(JOB, QUEUE, LIMIT_MS)
+            assert await intake.cancel(JOB, QUEUE, CALL_DEADLINE_MS)
             await trio.sleep(1)
             fleet.platform.store.trouble.deaf_feeds = False
             fleet.platform.store.forget_history()
@@ -438,7 +438,7 @@
             await trio.sleep(0.5)
             fleet.platform.store.cut_connections(owner)
             intake = fleet.instances[other].intake
-            assert await intake.cancel(JOB, QUEUE, LIMIT_MS)
+            assert await intake.cancel(JOB, QUEUE, CALL_DEADLINE_MS)
             await trio.sleep(3)
             assert not fleet.count_running()
 
@@ -602,7 +602,7 @@
     async def run():
         async with open_fleet(workers=2) as fleet:
             blocker = make_request(make_step(2, 12_000), run_ms=2000)
-            await submit(fleet, OTHER, request=blocker)
+            await submit(fleet, OTHER_JOB, request=blocker)
             await fleet.wait_running(2)
             gang = make_step(4, 4000, gang=True)
             await submit(fleet, request=make_request(gang))
@@ -688,7 +688,7 @@
             patient = make_request(
                 make_step(15, 1000, checkpointing=True), run_ms=20_000
             )
-            await submit(fleet, OTHER, PATIENT, patient)
+            await submit(fleet, OTHER_JOB, PATIENT, patient)
             await fleet.wait_running(15)
             await submit(
                 fleet, request=make_request(make_step(1, 4000), run_ms=300)
@@ -699,7 +699,7 @@
                 for event in fleet.platform.history
                 if event.outcome is RunOutcome.STOPPED
             ]
-            assert {event.key.job_id for event in stopped} == {OTHER}
+            assert {event.key.job_id for event in stopped} == {OTHER_JOB}
             assert len({event.key for event in stopped}) == 3
             fleet.check()
 
@@ -723,7 +723,7 @@
         async with open_fleet() as fleet:
             intake = fleet.instances['i0'].intake
             fleet.platform.store.trouble.silenced.add('i0')
-            arguments = (QUEUE, LIMIT_MS) if call == 'cancel' else ()
+            arguments = (QUEUE, CALL_DEADLINE_MS) if call == 'cancel' else ()
             with pytest.raises(UnavailableError) as caught:
                 await getattr(intake, call)(JOB, *arguments)
             assert not isinstance(caught.value, AnswerLostError)
--- a/tests/tulippin/test_homes.py
+++ b/tests/tulippin/test_homes.py
@@ -91,7 +91,7 @@
                 if get_starts(fleet, 'old'):
                     submitted_before_old.append(number)
                     break
-            # Three priority steps give a head start of three minutes.
+            # A job of priority 3 counts as accepted three minutes earlier.
             assert submitted_before_old
             assert 15 <= submitted_before_old[0] <= 45
 
