--- a/src/tulippin/jobs/_accounts.py
+++ b/src/tulippin/jobs/_accounts.py
@@ -14,7 +14,7 @@
 from tulippin.codec_json import encode
 from tulippin.exceptions import UnavailableError
 from tulippin.jobs import effects as fx
-from tulippin.jobs._row_checks import find_fault, is_task_name
+from tulippin.jobs._record_validation import find_fault, is_task_name
 from tulippin.jobs._rows import read_record, read_row
 from tulippin.jobs.ports import RowWrite
 from tulippin.jobs.records import (
--- a/src/tulippin/jobs/_advising.py
+++ b/src/tulippin/jobs/_advisory_inputs.py
@@ -15,9 +15,9 @@
 
 import attrs
 
-from tulippin.jobs import _interference, _memory
+from tulippin.jobs import _interference, _model_store
 from tulippin.jobs._dispatch import Context, handle
-from tulippin.jobs._sources import list_sources
+from tulippin.jobs._event_sources import list_sources
 from tulippin.jobs.effects import TellFailure
 from tulippin.jobs.events import (
     JobEvent,
@@ -114,7 +114,7 @@
     if event.model is None or context.state.is_without_advice:
         return
     try:
-        _memory.restore(event.model, context.state)
+        _model_store.restore(event.model, context.state)
     except Exception as error:
         _reset_learning(error, 'model dropped', event, context)
 
@@ -141,7 +141,7 @@
     state.advisory_pause_ms = min(pause_ms, _MAX_PAUSE_MS)
     state.advisory_paused_until_ms = state.now_ms + state.advisory_pause_ms
     state.count(kind.replace(' ', '_'))
-    _memory.forget(state)
+    _model_store.forget(state)
     for worker in state.workers.values():
         worker.exposure = None
         _interference.invalidate_slack(worker)
--- a/src/tulippin/jobs/_attempts.py
+++ b/src/tulippin/jobs/_attempts.py
@@ -8,14 +8,14 @@
 import typing as t
 
 from tulippin.jobs import (
-    _faults,
     _interference,
     _lifecycle,
     _ranking,
-    _ready,
+    _ready_queues,
+    _worker_failures,
 )
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._row_checks import has_task
+from tulippin.jobs._record_validation import has_task
 from tulippin.jobs.effects import StopRun
 from tulippin.jobs.state import Attempt, AttemptState, Job, Task, Worker
 from tulippin.jobs.types import (
@@ -79,7 +79,7 @@
         # A refused start doesn't end the idle time of its job: restarting it
         # with each refused start makes the same worker the choice again.
         has_existed = attempt.seen_ms > 0
-        if has_existed and not _ready.has_runs(job):
+        if has_existed and not _ready_queues.has_runs(job):
             job.idle_since_ms = context.state.now_ms
 
 
@@ -125,7 +125,7 @@
     is_assigned_here = _lifecycle.is_assigned_here(job, task.key)
     if is_assigned_here and not is_over and not task.attempts:
         step = job.request.steps[task.key.step]
-        _ready.add(task, step, context.state)
+        _ready_queues.add(task, step, context.state)
 
 
 def apply_end(worker: Worker, ended: EndedRun, context: Context) -> None:
@@ -157,7 +157,7 @@
     task.unresolved_start = None
     if ended.checkpoint:
         task.checkpoint = ended.checkpoint
-    _faults.record_outcome(worker, ended, context)
+    _worker_failures.record_outcome(worker, ended, context)
     if ended.outcome is RunOutcome.DONE:
         if attempt is not None and not attempt.is_slow_start:
             run_ms = context.state.now_ms - attempt.sent_ms
--- a/src/tulippin/jobs/_committing.py
+++ b/src/tulippin/jobs/_committing.py
@@ -11,16 +11,16 @@
 import attrs
 
 from tulippin.jobs import (
-    _advising,
+    _advisory_inputs,
     _attempts,
     _demand,
     _giving_up,
     _lifecycle,
-    _memory,
+    _model_store,
     _ownership,
-    _passing,
     _reports,
-    _unseen,
+    _transfers,
+    _unconfirmed_runs,
     _workers,
 )
 from tulippin.jobs._dispatch import Context, handle
@@ -71,17 +71,17 @@
     for entry in event.workers:
         _workers.apply_entry(entry, event.workers_read_ms, context)
     if event.roster is None:
-        _unseen.begin_without_roster(context)
+        _unconfirmed_runs.begin_without_roster(context)
     else:
         state.roster = dict(event.roster.addresses)
-        _unseen.begin(event.account, context)
-    _advising.restore(event, context)
+        _unconfirmed_runs.begin(event.account, context)
+    _advisory_inputs.restore(event, context)
     jobs = _lifecycle.add_rows(event.jobs, context)
     state.unreadable_jobs.update(
         _lifecycle.list_unreadable_jobs(event.jobs, state)
     )
     _restore(jobs, event.progress, context)
-    _unseen.record_reported_tasks(event.account, context)
+    _unconfirmed_runs.record_reported_tasks(event.account, context)
     _open_loaded_jobs(jobs, event, context)
     context.log(
         'unit loaded',
@@ -130,7 +130,7 @@
         job = by_id.get(row.key)
         if job is not None:
             _try_restore(job, row, context)
-            _passing.send(job, context)
+            _transfers.send(job, context)
 
 
 def _try_restore(job: Job, row: StoredRow, context: Context) -> None:
@@ -233,7 +233,7 @@
         return
     commit_if_due(context)
     _commit_roster_if_changed(context)
-    _memory.tick(context)
+    _model_store.tick(context)
     _remove_finished_jobs(context)
 
 
@@ -332,7 +332,7 @@
             job.pending_progress = None
             state.is_placing_due = True
             state.is_sending_due = True
-            _passing.send(job, context)
+            _transfers.send(job, context)
     _record_settled_ends(event.commit.ends, state)
 
 
--- a/src/tulippin/jobs/_crashes.py
+++ b/src/tulippin/jobs/_crashes.py
@@ -33,7 +33,7 @@
 
 import attrs
 
-from tulippin.jobs import _attempts, _lifecycle, _trials, _unseen
+from tulippin.jobs import _attempts, _lifecycle, _probation, _unconfirmed_runs
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.records import CrashRecord
 from tulippin.jobs.state import (
@@ -112,9 +112,9 @@
     suspected = [
         attempt
         for attempt in worker.attempts.values()
-        if attempt.is_ordered and _trials.is_recent(attempt, worker)
+        if attempt.is_ordered and _probation.is_recent(attempt, worker)
     ]
-    if _trials.has_probation(worker):
+    if _probation.has_probation(worker):
         suspected = [
             attempt
             for attempt in suspected
@@ -134,7 +134,7 @@
     whether it existed: a task that crashes its workers after 3 s would pass a
     probation of a second each time.
     """
-    if not attempt.probation_ms or _trials.is_on_probation(attempt, worker):
+    if not attempt.probation_ms or _probation.is_on_probation(attempt, worker):
         return False
     found = _attempts.find_task(attempt.key, context)
     if found is None:
@@ -172,7 +172,7 @@
             entry.address,
             entry.machine,
             attempt.run,
-            _trials.get_known_age_ms(attempt, worker),
+            _probation.get_known_age_ms(attempt, worker),
             get_wall_ms(state),
             is_sure,
             is_clear,
@@ -191,7 +191,7 @@
     reports the run. Without the second condition, five such crashes would not
     reach the limit.
     """
-    age_ms = _trials.get_known_age_ms(attempt, worker)
+    age_ms = _probation.get_known_age_ms(attempt, worker)
     return attempt.seen_ms > 0 or age_ms > _MAX_IN_FLIGHT_MS
 
 
@@ -230,7 +230,7 @@
     job, task = found
     task.unresolved_start = None
     age_ms = context.state.now_ms - attempt.sent_ms
-    if attempt.has_passed_probation or age_ms < _trials.MAX_SUSPECT_AGE_MS:
+    if attempt.has_passed_probation or age_ms < _probation.MAX_SUSPECT_AGE_MS:
         return
     attempt.has_passed_probation = True
     task.crashes.clear()
@@ -260,7 +260,7 @@
     It may not while it may have an unconfirmed run, or while its crashes
     require it to wait.
     """
-    if _unseen.has_unconfirmed_run(task, state):
+    if _unconfirmed_runs.has_unconfirmed_run(task, state):
         return False
     return not _must_wait(job, task, state)
 
@@ -284,7 +284,7 @@
         job, task, task.list_crashes()
     ) or not _are_crashes_durable(job, task):
         return True
-    return _trials.needs_isolation(task) and _is_preceded_by_sibling(
+    return _probation.needs_isolation(task) and _is_preceded_by_sibling(
         job, task, state
     )
 
@@ -296,7 +296,9 @@
     """
     run, worker_id = t.cast(tuple[int, str], task.unresolved_start)
     worker = state.workers.get(worker_id)
-    if worker is not None and not _unseen.are_runs_confirmed(worker, state):
+    if worker is not None and not _unconfirmed_runs.are_runs_confirmed(
+        worker, state
+    ):
         return
     task.unresolved_start = None
     is_lapsed = worker is not None and not worker.is_reconciled
@@ -316,7 +318,7 @@
         entry.address if entry else '',
         entry.machine if entry else '',
         run,
-        _trials.EARLY_CRASH_MS,
+        _probation.EARLY_CRASH_MS,
         get_wall_ms(state),
         state.lost_unconfirmed_workers.get(worker_id, False),
         # Only the start was recorded for the next owner.
@@ -416,7 +418,10 @@
     own_rank = _get_rank(task)
     step = job.request.steps[task.key.step]
     for other in job.tasks.values():
-        if other is task or len(other.crashes) < _trials.ISOLATING_CRASH_COUNT:
+        if (
+            other is task
+            or len(other.crashes) < _probation.ISOLATING_CRASH_COUNT
+        ):
             continue
         if step.gang and other.key[:3] == task.key[:3]:
             continue
@@ -435,7 +440,7 @@
 def _is_on_probation(task: Task, state: SchedulerState) -> bool:
     """Whether any run of a task is on probation."""
     return any(
-        _trials.is_on_probation(attempt, state.workers[attempt.worker_id])
+        _probation.is_on_probation(attempt, state.workers[attempt.worker_id])
         for attempt in task.attempts.values()
         if attempt.worker_id in state.workers
     )
--- a/src/tulippin/jobs/_draining.py
+++ b/src/tulippin/jobs/_draining.py
@@ -14,11 +14,11 @@
 from tulippin.jobs import (
     _attempts,
     _crashes,
-    _passing,
-    _ready,
+    _ready_queues,
     _scoring,
-    _spares,
-    _unseen,
+    _standby_workers,
+    _transfers,
+    _unconfirmed_runs,
 )
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import (
@@ -118,10 +118,10 @@
 def _waits_for_capacity(job: Job, task: Task, state: SchedulerState) -> bool:
     """Whether a task was stopped recently and waits only for capacity."""
     is_recent = task.ready_ms > state.now_ms - _FINAL_STOP_MS
-    if not (is_recent and _ready.ran_before(job, task)):
+    if not (is_recent and _ready_queues.ran_before(job, task)):
         return False
     step = job.request.steps[task.key.step]
-    is_withheld = _unseen.must_await_workers(job, step)
+    is_withheld = _unconfirmed_runs.must_await_workers(job, step)
     return not is_withheld and _crashes.may_start(job, task, state)
 
 
@@ -133,11 +133,11 @@
     found = _attempts.find_task(attempt.key, context)
     if found is None or not found[1].standby_workers:
         return True
-    return _spares.is_prepared(*found)
+    return _standby_workers.is_prepared(*found)
 
 
 def _fits_elsewhere(attempt: Attempt, context: Context) -> bool:
     """Whether another worker, here or in another unit, has capacity."""
     if _scoring.has_other_worker(attempt, context):
         return True
-    return _passing.has_unit_for(attempt.step, context.state)
+    return _transfers.has_unit_for(attempt.step, context.state)
--- a/src/tulippin/jobs/_feasibility.py
+++ b/src/tulippin/jobs/_feasibility.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-from tulippin.jobs import _advice, _interference, _trials
+from tulippin.jobs import _advice, _interference, _probation
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
 
@@ -64,7 +64,7 @@
         return False
     return _is_below_worker_limit(
         worker, task, step
-    ) and _trials.may_start_beside(worker, task, state)
+    ) and _probation.may_start_beside(worker, task, state)
 
 
 def accepts_runs(worker: Worker, state: SchedulerState) -> bool:
--- a/src/tulippin/jobs/_headroom.py
+++ b/src/tulippin/jobs/_headroom.py
@@ -24,7 +24,7 @@
 
 import attrs
 
-from tulippin.jobs import _demand, _feasibility, _ready
+from tulippin.jobs import _demand, _feasibility, _ready_queues
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
@@ -130,7 +130,7 @@
         # The members of a gang are placed together, so the headroom can't be
         # checked for each alone.
         return False
-    return not _ready.ran_before(job, task)
+    return not _ready_queues.ran_before(job, task)
 
 
 def find_headroom(
--- a/src/tulippin/jobs/_balancing.py
+++ b/src/tulippin/jobs/_home_selection.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from tulippin.jobs import _rooms
+from tulippin.jobs import _unit_capacity
 from tulippin.jobs.records import LayoutRecord, UnitCapacity
 from tulippin.jobs.types import JobRequest, Step
 
@@ -287,7 +287,7 @@
     """Return the share of a step's tasks that fit in a unit."""
     size = max(1, step.reserved.cpu_millicores)
     sent = demands.reserved.get(unit.config.unit.number, 0) // size
-    found = _rooms.count_fitting(
+    found = _unit_capacity.count_fitting(
         _get_room(unit), size, is_short=not step.long_running
     )
     fit_count = found - sent
--- a/src/tulippin/jobs/_interference.py
+++ b/src/tulippin/jobs/_interference.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from tulippin.jobs import _tails
+from tulippin.jobs import _tail_latency
 from tulippin.jobs.state import (
     Attempt,
     AttemptState,
@@ -184,7 +184,7 @@
     invalidate_slack(worker)
     serving = [one for one in worker.serving.values() if one.load > 0]
     for attempt in serving:
-        _tails.record_sibling_tail(attempt, state)
+        _tail_latency.record_sibling_tail(attempt, state)
     exposure = get_exposure(worker)
     is_plausible = exposure is not None and (
         sum(exposure.values()) <= _MAX_EXPOSURE
@@ -194,7 +194,10 @@
         worker.exposure = None
         return exposure
     _learn_load_cycles(serving, exposure, state)
-    if state.now_ms - worker.exposure_ms >= _tails.MIN_READING_INTERVAL_MS:
+    if (
+        state.now_ms - worker.exposure_ms
+        >= _tail_latency.MIN_READING_INTERVAL_MS
+    ):
         past = worker.exposure
         worker.exposure = exposure
         worker.exposure_ms = state.now_ms
@@ -217,7 +220,7 @@
         return
     for attempt in serving:
         if is_steady and _is_undisturbed(attempt, exposure, state):
-            _tails.learn_load_factor(attempt, state)
+            _tail_latency.learn_load_factor(attempt, state)
         if total >= _MIN_EXPOSURE:
             _learn_one(attempt, exposure, state, is_steady=is_steady)
 
@@ -231,7 +234,7 @@
         image = attempt.step.image
         if image not in expected:
             expected[image] = _sum_expected(image, exposure, state)
-        _tails.learn_load_cycle(attempt, state, *expected[image])
+        _tail_latency.learn_load_cycle(attempt, state, *expected[image])
 
 
 def _sum_expected(
@@ -289,16 +292,18 @@
     Outside of a steady state the tail still rises, so the slowdown that it
     shows counts as a lower bound.
     """
-    undisturbed_ms = _tails.get_undisturbed_tail_ms(attempt, state)
+    undisturbed_ms = _tail_latency.get_undisturbed_tail_ms(attempt, state)
     if undisturbed_ms <= 0 and attempt.tail_ms <= attempt.step.target_ms:
         return
-    idle_ms = _tails.get_unloaded_tail_ms(attempt, state)
-    load = _tails.get_load(attempt, state, 0.0)
-    alone_ms = _tails.compute_tail_ms(1.0, idle_ms, load)
+    idle_ms = _tail_latency.get_unloaded_tail_ms(attempt, state)
+    load = _tail_latency.get_load(attempt, state, 0.0)
+    alone_ms = _tail_latency.compute_tail_ms(1.0, idle_ms, load)
     log_excess = math.log(max(1.0, attempt.tail_ms / alone_ms))
-    if _tails.exceeds_neighbour_effect(log_excess, sum(exposure.values())):
+    if _tail_latency.exceeds_neighbour_effect(
+        log_excess, sum(exposure.values())
+    ):
         return
-    slowdown = _tails.compute_slowdown(attempt.tail_ms, idle_ms, load)
+    slowdown = _tail_latency.compute_slowdown(attempt.tail_ms, idle_ms, load)
     image = attempt.step.image
     state.model.learn(
         image,
@@ -385,9 +390,9 @@
     ahead_ms : int
         How far ahead the load is predicted, where the cycle is known.
     """
-    idle_ms = _tails.get_unloaded_tail_ms(attempt, state)
-    load = _tails.get_load(attempt, state, expected, ahead_ms)
-    if _tails.predict_load(attempt, state) is not None:
+    idle_ms = _tail_latency.get_unloaded_tail_ms(attempt, state)
+    load = _tail_latency.get_load(attempt, state, expected, ahead_ms)
+    if _tail_latency.predict_load(attempt, state) is not None:
         rise = _PREDICTION_ERROR
     goal_ms = _GOAL_RATIO * attempt.step.target_ms
     return max(0.0, 1 / (idle_ms / goal_ms + load + rise) - 1)
@@ -399,9 +404,9 @@
     """Return the excess that a task's tail shows, beyond chance."""
     if attempt.tail_ms <= 0:
         return 0.0
-    idle_ms = _tails.get_unloaded_tail_ms(attempt, state)
-    load = _tails.get_load(attempt, state, expected)
-    slowdown = _tails.compute_slowdown(attempt.tail_ms, idle_ms, load)
+    idle_ms = _tail_latency.get_unloaded_tail_ms(attempt, state)
+    load = _tail_latency.get_load(attempt, state, expected)
+    slowdown = _tail_latency.compute_slowdown(attempt.tail_ms, idle_ms, load)
     return max(0.0, slowdown - 1 - _CHANCE_EXCESS)
 
 
--- a/src/tulippin/jobs/_lifecycle.py
+++ b/src/tulippin/jobs/_lifecycle.py
@@ -10,15 +10,15 @@
 
 import attrs
 
-from tulippin.jobs import _demand, _ranking, _ready
+from tulippin.jobs import _demand, _ranking, _ready_queues
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._row_checks import (
+from tulippin.jobs._event_sources import name_row
+from tulippin.jobs._record_validation import (
     find_progress_fault,
     has_task,
     is_job_id,
 )
 from tulippin.jobs._rows import log_unreadable, read_record
-from tulippin.jobs._sources import name_row
 from tulippin.jobs.effects import FailJob, TellFailure
 from tulippin.jobs.ports import StoredRow
 from tulippin.jobs.records import (
@@ -398,7 +398,7 @@
         if task.is_done:
             done[name] = done.get(name, 0) | 1 << key.index
         if job.request.steps[key.step].long_running and (
-            task.attempts or _ready.ran_before(job, task)
+            task.attempts or _ready_queues.ran_before(job, task)
         ):
             begun[name] = begun.get(name, 0) | 1 << key.index
         if task.failed_runs:
@@ -525,7 +525,7 @@
     for key in job.passes:
         task = get_task(job, key)
         if _needs_start(job, task):
-            _ready.add(task, job.request.steps[key.step], state)
+            _ready_queues.add(task, job.request.steps[key.step], state)
 
 
 def _iter_openable(job: Job, occurrence: int) -> t.Iterator[int]:
@@ -556,7 +556,7 @@
         key = TaskKey(job.job_id, occurrence, number, index)
         task = get_task(job, key)
         if _needs_start(job, task):
-            _ready.add(task, step, state)
+            _ready_queues.add(task, step, state)
             opened += 1
     _demand.note_step(job, step, opened, state)
 
@@ -575,7 +575,7 @@
         return
     state = context.state
     task.is_done = True
-    _ready.remove(task.key, job.request.steps[task.key.step], state)
+    _ready_queues.remove(task.key, job.request.steps[task.key.step], state)
     step_key = (task.key.occurrence, task.key.step)
     job.remaining[step_key] -= 1
     mark_dirty(job, state)
@@ -592,7 +592,7 @@
     job.finished_ms = state.now_ms
     state.swings.forget(job.job_id)
     for key in job.tasks:
-        _ready.remove(key, job.request.steps[key.step], state)
+        _ready_queues.remove(key, job.request.steps[key.step], state)
     mark_dirty(job, state)
     state.count(f'jobs_{final.value}')
     context.log(
--- a/src/tulippin/jobs/_memory.py
+++ b/src/tulippin/jobs/_model_store.py
@@ -12,7 +12,7 @@
 import attrs
 
 from tulippin.jobs._dispatch import Context, handle
-from tulippin.jobs._model_checks import drop_faults
+from tulippin.jobs._model_validation import drop_faults
 from tulippin.jobs._rounding import (
     round_all,
     round_covariances,
@@ -20,10 +20,10 @@
 )
 from tulippin.jobs.effects import KeepModel
 from tulippin.jobs.events import ModelsSeen
+from tulippin.jobs.load_cycles import LoadCycleModel, Wave
 from tulippin.jobs.pair_model import ImageModel, PairModel
 from tulippin.jobs.records import ModelRecord, PairRecord, SwingRecord
 from tulippin.jobs.state import Phase, SchedulerState
-from tulippin.jobs.swings import LoadCycleModel, Wave
 from tulippin.logs import logger
 
 _SAVE_INTERVAL_MS: t.Final = 2000
--- a/src/tulippin/jobs/_model_checks.py
+++ b/src/tulippin/jobs/_model_validation.py
@@ -13,9 +13,9 @@
 
 import attrs
 
+from tulippin.jobs.load_cycles import is_period
 from tulippin.jobs.pair_model import MIN_VARIANCE
 from tulippin.jobs.records import ModelRecord, PairRecord, SwingRecord
-from tulippin.jobs.swings import is_period
 
 # Outliers raise the variance of images that always run together, by 0.0025
 # each, and a few samples that tell two of them apart give large means.
--- a/src/tulippin/jobs/_ownership.py
+++ b/src/tulippin/jobs/_ownership.py
@@ -12,7 +12,12 @@
 
 import attrs
 
-from tulippin.jobs import _lifecycle, _memory, _rooms, _unseen
+from tulippin.jobs import (
+    _lifecycle,
+    _model_store,
+    _unconfirmed_runs,
+    _unit_capacity,
+)
 from tulippin.jobs._dispatch import Context, handle
 from tulippin.jobs.effects import (
     ForgetUnit,
@@ -28,9 +33,9 @@
     StopRequested,
     UnitTaken,
 )
+from tulippin.jobs.load_cycles import LoadCycleModel
 from tulippin.jobs.records import EpochRecord, LeaseRecord, UnitCapacity
 from tulippin.jobs.state import Ownership, Phase, SchedulerState
-from tulippin.jobs.swings import LoadCycleModel
 from tulippin.types import Resources
 
 # Staggers the instances that take over a lapsed lease, so that most of them
@@ -451,8 +456,8 @@
         ReleaseLease(
             _make_lease(state, is_loaded=was_loaded, released=True),
             # Rows that were not loaded must not be overwritten.
-            _memory.make_record(state) if has_models else None,
-            _unseen.make_account(context) if was_loaded else None,
+            _model_store.make_record(state) if has_models else None,
+            _unconfirmed_runs.make_account(context) if was_loaded else None,
             state.ownership.epoch,
             state.ownership.epoch_version,
             None if was_loaded else held_ms,
@@ -473,7 +478,7 @@
     state: SchedulerState, *, is_loaded: bool, released: bool = False
 ) -> LeaseRecord:
     if is_loaded:
-        published = (count_waiting(state), _rooms.measure(state), False)
+        published = (count_waiting(state), _unit_capacity.measure(state), False)
     else:
         published = _get_last_published(state.ownership)
     return LeaseRecord(
--- a/src/tulippin/jobs/_placing.py
+++ b/src/tulippin/jobs/_placing.py
@@ -13,19 +13,19 @@
 from tulippin.jobs import (
     _advice,
     _attempts,
-    _choosing,
     _crashes,
-    _evening,
     _feasibility,
     _headroom,
     _interference,
     _ownership,
     _preempting,
     _ranking,
-    _ready,
+    _ready_queues,
+    _rebalancing,
     _slow_start,
     _starting,
-    _unseen,
+    _unconfirmed_runs,
+    _worker_selection,
 )
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import (
@@ -75,7 +75,7 @@
     state = context.state
     if not (context.may_send_orders and _ownership.may_extend_leases(state)):
         return
-    _crashes.count_lost_starts(_unseen.end_worker_wait(state), state)
+    _crashes.count_lost_starts(_unconfirmed_runs.end_worker_wait(state), state)
     if is_tick or state.is_sending_due:
         state.is_sending_due = False
         _starting.send_durable(context)
@@ -101,7 +101,7 @@
     """
 
     context: Context
-    queue: dict[_ready.StepKey, dict[TaskKey, Task]]
+    queue: dict[_ready_queues.StepKey, dict[TaskKey, Task]]
     budget: int = _MAX_STARTS_PER_PASS
     # Sizes of opportunistic tasks, by service and image, that no worker
     # accepts next to the tasks that it serves.
@@ -114,7 +114,7 @@
         factory=dict
     )
     # Steps that are held back for rebalancing; computed on first use.
-    rebalancing_steps: frozenset[_ready.StepKey] | None = None
+    rebalancing_steps: frozenset[_ready_queues.StepKey] | None = None
 
     def run(self) -> None:
         """Place the steps of the queue until the budget is used up."""
@@ -129,7 +129,7 @@
         state = self.context.state
         for step_key in _ranking.sort_steps(self.queue, state):
             job = state.jobs[step_key[0]]
-            if not _unseen.must_await_workers(
+            if not _unconfirmed_runs.must_await_workers(
                 job, job.request.steps[step_key[2]]
             ):
                 self._place_step(job, step_key)
@@ -149,7 +149,7 @@
         waiting = _slow_start.list_waiting(state)
         for job, task in _slow_start.select_round(waiting, state):
             step = job.request.steps[task.key.step]
-            if _ready.has_runs(job) and not step.long_running:
+            if _ready_queues.has_runs(job) and not step.long_running:
                 # Another step of the job was started in this scan.
                 continue
             choice = _slow_start.choose(job, task, step, state)
@@ -165,18 +165,18 @@
         state = self.context.state
         if state.now_ms - state.overdue_started_ms < _OVERDUE_INTERVAL_MS:
             return
-        tried_steps: set[_ready.StepKey] = set()
-        for job, task in _ready.list_overdue(state):
+        tried_steps: set[_ready_queues.StepKey] = set()
+        for job, task in _ready_queues.list_overdue(state):
             if len(tried_steps) >= _MAX_OVERDUE_STEPS:
                 return
             step = job.request.steps[task.key.step]
-            is_withheld = _unseen.must_await_workers(job, step)
+            is_withheld = _unconfirmed_runs.must_await_workers(job, step)
             if not is_withheld and self._start_overdue(job, task, tried_steps):
                 state.overdue_started_ms = state.now_ms
                 return
 
     def _start_overdue(
-        self, job: Job, task: Task, tried_steps: set[_ready.StepKey]
+        self, job: Job, task: Task, tried_steps: set[_ready_queues.StepKey]
     ) -> bool:
         """Try to start an overdue task; return whether it was started.
 
@@ -185,14 +185,14 @@
         """
         state = self.context.state
         step = job.request.steps[task.key.step]
-        step_key = _ready.get_step_key(task.key)
+        step_key = _ready_queues.get_step_key(task.key)
         if step_key in tried_steps or self._exceeds_free_capacity(
             job, step, task
         ):
             return False
         if not _crashes.may_start(job, task, state):
             return False
-        worker = _choosing.choose(job, task, step, state)
+        worker = _worker_selection.choose(job, task, step, state)
         if worker is None:
             if not task.crashes:
                 tried_steps.add(step_key)
@@ -201,7 +201,7 @@
         self._start(job, step, task, worker)
         return True
 
-    def _place_step(self, job: Job, step_key: _ready.StepKey) -> None:
+    def _place_step(self, job: Job, step_key: _ready_queues.StepKey) -> None:
         """Start tasks of one step as far as workers and budget allow."""
         step = job.request.steps[step_key[2]]
         if self._is_delayed(job, step_key):
@@ -221,7 +221,7 @@
         if step.long_running:
             # Tasks that ran before don't have to leave headroom; try them
             # first.
-            tasks.sort(key=lambda task: not _ready.ran_before(job, task))
+            tasks.sort(key=lambda task: not _ready_queues.ran_before(job, task))
         if step.gang:
             self.budget -= _place_gang(job, step, tasks, self.context)
             return
@@ -250,7 +250,7 @@
             return
         state = self.context.state
         size = step.size
-        if not _choosing.is_limited_by_memory(task, step, state):
+        if not _worker_selection.is_limited_by_memory(task, step, state):
             size = attrs.evolve(size, memory_mb=0)
         place = job.queue.service, step.image
         self.rejected_sizes.setdefault(place, []).append(size)
@@ -287,7 +287,7 @@
             sizes = self.unplaceable_sizes.setdefault(key, [])
             sizes.append(step.reserved)
 
-    def _is_delayed(self, job: Job, step_key: _ready.StepKey) -> bool:
+    def _is_delayed(self, job: Job, step_key: _ready_queues.StepKey) -> bool:
         """Whether a long-running step waits for its batch or rebalancing."""
         state = self.context.state
         if not job.request.steps[step_key[2]].long_running:
@@ -295,7 +295,7 @@
         if state.now_ms - job.first_seen_ms < _GATHER_DELAY_MS:
             return True
         if self.rebalancing_steps is None:
-            self.rebalancing_steps = _evening.list_held_steps(state)
+            self.rebalancing_steps = _rebalancing.list_held_steps(state)
         return step_key in self.rebalancing_steps
 
     def _place_task(self, job: Job, step: Step, task: Task) -> bool:
@@ -312,7 +312,7 @@
             # Preemption frees no capacity that the task may use.
             return False
         if not self._exceeds_free_capacity(job, step, task):
-            worker = _choosing.choose(job, task, step, state)
+            worker = _worker_selection.choose(job, task, step, state)
         if worker is None:
             _preempt(job, task, self.context)
             if task.crashes:
@@ -395,11 +395,11 @@
     checkpoint = max(task.checkpoint for task in tasks)
     added: list[Attempt] = []
     for task in tasks:
-        worker = _choosing.choose(job, task, step, state, rack)
+        worker = _worker_selection.choose(job, task, step, state, rack)
         if worker is None:
             for attempt in added:
                 _attempts.drop_attempt(attempt, context)
-                _ready.add(job.tasks[attempt.key], step, state)
+                _ready_queues.add(job.tasks[attempt.key], step, state)
             return []
         task.run_count = run_count
         task.checkpoint = checkpoint
--- a/src/tulippin/jobs/_ranking.py
+++ b/src/tulippin/jobs/_ranking.py
@@ -10,7 +10,7 @@
 import enum
 import typing as t
 
-from tulippin.jobs._ready import StepKey
+from tulippin.jobs._ready_queues import StepKey
 from tulippin.jobs.state import Job, SchedulerState, Task
 from tulippin.jobs.types import JobRequest
 
--- a/src/tulippin/jobs/_evening.py
+++ b/src/tulippin/jobs/_rebalancing.py
@@ -19,8 +19,8 @@
 
 import attrs
 
-from tulippin.jobs import _rooms, _unseen
-from tulippin.jobs._ready import StepKey
+from tulippin.jobs import _unconfirmed_runs, _unit_capacity
+from tulippin.jobs._ready_queues import StepKey
 from tulippin.jobs.records import UnitCapacity
 from tulippin.jobs.state import Job, SchedulerState
 from tulippin.jobs.types import Step
@@ -140,14 +140,14 @@
     """
     if not step.long_running or step.gang or not state.unit_capacities:
         return False
-    if _unseen.must_await_workers(job, step):
+    if _unconfirmed_runs.must_await_workers(job, step):
         return False
     return not (job.is_transferred or job.is_resumed)
 
 
 def _compute_balance(state: SchedulerState) -> _Balance:
     """Compare the load of this unit with the mean of all units."""
-    own_load = _rooms.measure_load(state)
+    own_load = _unit_capacity.measure_load(state)
     capacities = [own_load, *state.unit_capacities.values()]
     capacity = sum(room.capacity_millicores for room in capacities)
     mean = sum(room.reserved_millicores for room in capacities) / max(
@@ -184,7 +184,7 @@
         number
         for number, deficit in deficits.items()
         if deficit >= _MIN_STEP_PART * size
-        and _rooms.fits_in_unit(
+        and _unit_capacity.fits_in_unit(
             state.unit_capacities[number], step, is_new=True
         )
     ]
--- a/src/tulippin/jobs/_row_checks.py
+++ b/src/tulippin/jobs/_record_validation.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from tulippin.jobs import _model_checks
+from tulippin.jobs import _model_validation
 from tulippin.jobs.records import (
     FIT_COUNT_SIZES,
     AccountRecord,
@@ -86,7 +86,7 @@
 def _drop_model_faults(
     record: ModelRecord,
 ) -> tuple[ModelRecord, tuple[str, ...]]:
-    return _model_checks.drop_faults(record)
+    return _model_validation.drop_faults(record)
 
 
 # -- jobs ---------------------------------------------------------------------
@@ -303,5 +303,5 @@
 
 @find_fault.register
 def _check_model(record: ModelRecord) -> str:
-    _, faults = _model_checks.drop_faults(record)
+    _, faults = _model_validation.drop_faults(record)
     return faults[0] if faults else ''
--- a/src/tulippin/jobs/_reports.py
+++ b/src/tulippin/jobs/_reports.py
@@ -13,12 +13,12 @@
     _attempts,
     _crashes,
     _lifecycle,
-    _ready,
-    _tails,
-    _unseen,
+    _ready_queues,
+    _tail_latency,
+    _unconfirmed_runs,
 )
 from tulippin.jobs._dispatch import Context, handle
-from tulippin.jobs._row_checks import has_task
+from tulippin.jobs._record_validation import has_task
 from tulippin.jobs.events import WorkerAnswered
 from tulippin.jobs.state import Attempt, AttemptState, Job, Worker
 from tulippin.jobs.types import FINAL_STATES, RunningTask
@@ -52,7 +52,9 @@
         _process_running(worker, row, context)
     for run_id in worker.orphaned_runs.keys() - present:
         del worker.orphaned_runs[run_id]
-    _unseen.note_answer(worker, state, is_whole=not worker.deferred_ends)
+    _unconfirmed_runs.note_answer(
+        worker, state, is_whole=not worker.deferred_ends
+    )
     for attempt in list(worker.attempts.values()):
         # A run with a deferred end is over; that end holds its outcome.
         is_early = attempt.key in worker.deferred_ends
@@ -152,7 +154,7 @@
     tail of 0 would read as a target that is met.
     """
     if load is not None:
-        _tails.update_tail(attempt, load, now_ms)
+        _tail_latency.update_tail(attempt, load, now_ms)
         return
     attempt.load = 0.0
     attempt.previous_load = 0.0
@@ -195,7 +197,7 @@
     is_second = bool(task.attempts) and not step.allow_duplicates
     task.has_run = True
     _attempts.add_attempt(attempt, task, worker)
-    _ready.remove(row.key, step, state)
+    _ready_queues.remove(row.key, step, state)
     if not is_over:
         # The earlier owner may have failed before it recorded the start.
         _lifecycle.mark_running(job, state)
--- a/src/tulippin/jobs/_row_effects.py
+++ b/src/tulippin/jobs/_row_effects.py
@@ -19,13 +19,13 @@
 from tulippin.jobs import events as ev
 from tulippin.jobs._accounts import make_release_writes
 from tulippin.jobs._perform import perform
-from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs._rows import (
     get_version,
     is_unreadable,
     read_record,
     read_row,
 )
+from tulippin.jobs._transactions import transact_with_retries
 from tulippin.jobs.ports import (
     RowCondition,
     RowWrite,
--- a/src/tulippin/jobs/_rows.py
+++ b/src/tulippin/jobs/_rows.py
@@ -7,7 +7,7 @@
 from tulippin import failures
 from tulippin.codec_json import decode
 from tulippin.exceptions import InputError
-from tulippin.jobs._row_checks import drop_faults, find_fault
+from tulippin.jobs._record_validation import drop_faults, find_fault
 from tulippin.jobs.ports import RowStore, StoredRow
 from tulippin.logs import logger
 
--- a/src/tulippin/jobs/_slow_start.py
+++ b/src/tulippin/jobs/_slow_start.py
@@ -26,8 +26,8 @@
     _crashes,
     _feasibility,
     _interference,
-    _ready,
-    _unseen,
+    _ready_queues,
+    _unconfirmed_runs,
 )
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import Attempt, Job, SchedulerState, Task, Worker
@@ -90,9 +90,13 @@
         task = _find_startable(job, tasks.values(), state)
         # Members of a gang run only together, and at full pace.
         step = job.request.steps[kind[2]]
-        if task is None or step.gang or _unseen.must_await_workers(job, step):
+        if (
+            task is None
+            or step.gang
+            or _unconfirmed_runs.must_await_workers(job, step)
+        ):
             continue
-        idle_ms = _ready.get_idle_job_ms(job, task, state)
+        idle_ms = _ready_queues.get_idle_job_ms(job, task, state)
         if idle_ms >= wait_ms:
             found.append((idle_ms, job, task))
     found.sort(key=lambda one: -one[0])
--- a/src/tulippin/jobs/_spares.py
+++ b/src/tulippin/jobs/_standby_workers.py
@@ -11,7 +11,7 @@
 
 import typing as t
 
-from tulippin.jobs import _attempts, _choosing, _feasibility, _lifecycle
+from tulippin.jobs import _attempts, _feasibility, _lifecycle, _worker_selection
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
@@ -83,7 +83,7 @@
     job: Job, task: Task, step: Step, state: SchedulerState
 ) -> None:
     """Assign the best workers as standby workers of a task."""
-    best = _choosing.rank_workers(job, task, step, state)
+    best = _worker_selection.rank_workers(job, task, step, state)
     standby_workers = frozenset(
         one.worker_id for one in best[:_STANDBYS_PER_TASK]
     )
--- a/src/tulippin/jobs/_starting.py
+++ b/src/tulippin/jobs/_starting.py
@@ -7,9 +7,9 @@
     _attempts,
     _crashes,
     _lifecycle,
-    _ready,
-    _trials,
-    _unseen,
+    _probation,
+    _ready_queues,
+    _unconfirmed_runs,
     _workers,
 )
 from tulippin.jobs._dispatch import Context
@@ -47,13 +47,13 @@
         checkpoint=task.checkpoint,
     )
     _attempts.add_attempt(attempt, task, worker)
-    _trials.begin_probation(attempt, task, worker)
+    _probation.begin_probation(attempt, task, worker)
     if step.long_running and not _lifecycle.is_assignment_durable(
         job, task.key, worker.worker_id
     ):
         attempt.is_ordered = False
     task.standby_workers = frozenset()
-    _ready.remove(task.key, step, state)
+    _ready_queues.remove(task.key, step, state)
     return attempt
 
 
@@ -86,7 +86,7 @@
     task = job.tasks[attempt.key]
     valid_ms = state.config.start_valid_ms
     attempt.start_deadline_ms = _workers.get_clock_ms(worker, state) + valid_ms
-    _unseen.extend_lapse_time(worker, valid_ms, state)
+    _unconfirmed_runs.extend_lapse_time(worker, valid_ms, state)
     state.count('starts')
     context.log(
         'start run',
--- a/src/tulippin/jobs/_passing.py
+++ b/src/tulippin/jobs/_transfers.py
@@ -14,11 +14,11 @@
 
 from tulippin.jobs import (
     _crashes,
-    _evening,
     _lifecycle,
-    _ready,
-    _rooms,
-    _unseen,
+    _ready_queues,
+    _rebalancing,
+    _unconfirmed_runs,
+    _unit_capacity,
 )
 from tulippin.jobs._dispatch import Context, handle
 from tulippin.jobs.effects import PassTasks
@@ -68,12 +68,12 @@
     state.transfers_checked_ms = state.now_ms
     _rebalance(context)
     budget = _MAX_TRANSFERS_PER_TICK
-    refused_groups: set[tuple[_ready.StepKey, bool, bool]] = set()
+    refused_groups: set[tuple[_ready_queues.StepKey, bool, bool]] = set()
     for job, step, task in _list_waiting(state):
         # If no unit fits a task, none fits others with the same properties.
         task_group = (
-            _ready.get_step_key(task.key),
-            _ready.ran_before(job, task),
+            _ready_queues.get_step_key(task.key),
+            _ready_queues.ran_before(job, task),
             _is_late(job, task, state),
         )
         if task_group in refused_groups or task.attempts:
@@ -91,7 +91,7 @@
 def _list_waiting(state: SchedulerState) -> list[tuple[Job, Step, Task]]:
     """Return the long-running tasks that have waited for too long."""
     # Steps held back for rebalancing are transferred as a whole.
-    held_steps = _evening.list_held_steps(state)
+    held_steps = _rebalancing.list_held_steps(state)
     limit_ms = state.now_ms - _TRANSFER_DELAY_MS
     found = []
     for step_key, tasks in state.ready.items():
@@ -109,7 +109,7 @@
 def _rebalance(context: Context) -> None:
     """Transfer new steps to emptier units if this one is above the mean."""
     state = context.state
-    for step_key, unit in _evening.choose_units(state).items():
+    for step_key, unit in _rebalancing.choose_units(state).items():
         job = state.jobs[step_key[0]]
         step = job.request.steps[step_key[2]]
         for task in list(state.ready[step_key].values()):
@@ -120,13 +120,13 @@
     """Whether the tasks of a step may be transferred."""
     if not step.long_running or step.gang:
         return False
-    return not _unseen.must_await_workers(job, step)
+    return not _unconfirmed_runs.must_await_workers(job, step)
 
 
 def _try_transfer(job: Job, step: Step, task: Task, context: Context) -> bool:
     """Transfer a task if a unit fits it; return whether one did."""
     state = context.state
-    ran_before = _ready.ran_before(job, task)
+    ran_before = _ready_queues.ran_before(job, task)
     is_late = _is_late(job, task, state)
     unit = _choose_unit(step, state, is_late=is_late, is_new=not ran_before)
     if unit is None:
@@ -145,7 +145,7 @@
 def _is_late(job: Job, task: Task, state: SchedulerState) -> bool:
     """Whether a task that ran before has waited for long."""
     waited_ms = state.now_ms - task.ready_ms
-    return waited_ms >= _LATE_AFTER_MS and _ready.ran_before(job, task)
+    return waited_ms >= _LATE_AFTER_MS and _ready_queues.ran_before(job, task)
 
 
 def _transfer(
@@ -160,7 +160,7 @@
     # runs of this unit.
     run_floor = task.run_floor + (context.fencing_token + 1) * RUNS_PER_EPOCH
     job.passed[task.key] = TransferredTask(unit, number, run_floor)
-    _ready.remove(task.key, step, state)
+    _ready_queues.remove(task.key, step, state)
     if not _lifecycle.is_assigned_here(job, _lifecycle.get_counted_task(job)):
         # From here on the other unit reports whether the job has begun.
         _lifecycle.mark_running(job, state)
@@ -185,7 +185,7 @@
 def _has_run(job: Job, name: str) -> bool:
     """Whether a task, by its name within the job, ran before."""
     key = parse_task_key(f'{job.job_id}.{name}')
-    return _ready.ran_before(job, _lifecycle.get_task(job, key))
+    return _ready_queues.ran_before(job, _lifecycle.get_task(job, key))
 
 
 def _list_crashes(
@@ -226,7 +226,7 @@
     fitting = [
         (_get_load(room), number)
         for number, room in state.unit_capacities.items()
-        if _rooms.fits_in_unit(room, step, is_new=is_new)
+        if _unit_capacity.fits_in_unit(room, step, is_new=is_new)
         and (is_late or _accepts_transfers(room))
     ]
     return min(fitting)[1] if fitting else None
--- a/src/tulippin/jobs/_unseen.py
+++ b/src/tulippin/jobs/_unconfirmed_runs.py
@@ -14,7 +14,7 @@
 
 from tulippin.jobs import _lifecycle
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._row_checks import has_task
+from tulippin.jobs._record_validation import has_task
 from tulippin.jobs.records import AccountRecord, WorkerAccount
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step, WorkerEntry, parse_task_key
--- a/src/tulippin/jobs/_rooms.py
+++ b/src/tulippin/jobs/_unit_capacity.py
@@ -10,7 +10,7 @@
 import itertools
 
 from tulippin.jobs import _demand, _feasibility, _headroom
-from tulippin.jobs._ready import StepKey
+from tulippin.jobs._ready_queues import StepKey
 from tulippin.jobs.records import FIT_COUNT_SIZES, UnitCapacity
 from tulippin.jobs.state import SchedulerState, Task, Worker
 from tulippin.jobs.types import Step, TaskKey
--- a/src/tulippin/jobs/_unit_feeds.py
+++ b/src/tulippin/jobs/_unit_feeds.py
@@ -12,8 +12,8 @@
 
 from tulippin.exceptions import UnavailableError
 from tulippin.jobs import events as ev
+from tulippin.jobs._event_sources import name_row
 from tulippin.jobs._rows import get_version, read_record, read_row
-from tulippin.jobs._sources import name_row
 from tulippin.jobs.ports import (
     HistoryLostError,
     RowPage,
--- a/src/tulippin/jobs/_unit_watch.py
+++ b/src/tulippin/jobs/_unit_watch.py
@@ -16,8 +16,8 @@
 from tulippin.codec_json import encode
 from tulippin.exceptions import UnavailableError
 from tulippin.jobs import events as ev
-from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs._rows import get_version, log_unreadable, read_record
+from tulippin.jobs._transactions import transact_with_retries
 from tulippin.jobs._unit_feeds import FEED_RETRY_PAUSE_S, FEED_WAIT_MS
 from tulippin.jobs.layout import extend_layout, get_rack, make_layout
 from tulippin.jobs.ports import (
--- a/src/tulippin/jobs/_refusals.py
+++ b/src/tulippin/jobs/_wait_diagnostics.py
@@ -20,10 +20,10 @@
     _headroom,
     _interference,
     _ranking,
-    _ready,
-    _rooms,
+    _ready_queues,
     _scoring,
-    _unseen,
+    _unconfirmed_runs,
+    _unit_capacity,
 )
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
@@ -92,8 +92,10 @@
     unconfirmed = [
         task
         for job, task in waiting
-        if _unseen.must_await_workers(job, job.request.steps[task.key.step])
-        or _unseen.has_unconfirmed_run(task, state)
+        if _unconfirmed_runs.must_await_workers(
+            job, job.request.steps[task.key.step]
+        )
+        or _unconfirmed_runs.has_unconfirmed_run(task, state)
     ]
     oldest = min((task for _, task in waiting), key=lambda task: task.ready_ms)
     context.log(
@@ -102,10 +104,10 @@
         no_place=len(waiting) - len(unconfirmed),
         oldest=oldest.key.format(),
         waited_ms=state.now_ms - oldest.ready_ms,
-        silent_workers=_unseen.list_unconfirmed_workers(state)[
+        silent_workers=_unconfirmed_runs.list_unconfirmed_workers(state)[
             :_MAX_LOGGED_WORKERS
         ],
-        awaited_ms=_unseen.get_unconfirmed_ms(state),
+        awaited_ms=_unconfirmed_runs.get_unconfirmed_ms(state),
     )
 
 
@@ -139,7 +141,9 @@
 ) -> dict[str, int]:
     """Return how many tasks wait, by whether their job can meet its target."""
     counts = collections.Counter(
-        _ranking.get_lateness(job, _ready.get_step_key(task.key), state).name
+        _ranking.get_lateness(
+            job, _ready_queues.get_step_key(task.key), state
+        ).name
         for job, task in waiting
     )
     return {name.lower(): count for name, count in counts.items()}
@@ -148,7 +152,7 @@
 def _count_units_with_capacity(step: Step, state: SchedulerState) -> int:
     """Return how many other units report a worker that fits a task."""
     return sum(
-        _rooms.fits_in_unit(room, step, is_new=False)
+        _unit_capacity.fits_in_unit(room, step, is_new=False)
         for room in state.unit_capacities.values()
     )
 
@@ -240,7 +244,7 @@
     for kind, tasks in state.ready_opportunistic.items():
         job = state.jobs[kind[0]]
         task = next(iter(tasks.values()))
-        since_ms = _ready.get_idle_job_ms(job, task, state)
+        since_ms = _ready_queues.get_idle_job_ms(job, task, state)
         if since_ms >= _LOG_INTERVAL_MS:
             idle_ms[job.job_id] = max(since_ms, idle_ms.get(job.job_id, 0))
     longest = max(idle_ms, key=idle_ms.__getitem__, default='')
--- a/src/tulippin/jobs/_soundness.py
+++ b/src/tulippin/jobs/_worker_health.py
@@ -16,7 +16,7 @@
     _availability,
     _interference,
     _scoring,
-    _tails,
+    _tail_latency,
 )
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import Attempt, AttemptState, Worker
@@ -75,12 +75,14 @@
     known_count = 0
     excessive_count = 0
     for attempt in worker.serving.values():
-        alone_ms = _tails.get_undisturbed_tail_ms(attempt, context.state)
+        alone_ms = _tail_latency.get_undisturbed_tail_ms(attempt, context.state)
         if alone_ms <= 0 or attempt.load <= 0:
             continue
         known_count += 1
         excess = math.log(attempt.load / alone_ms)
-        excessive_count += _tails.exceeds_neighbour_effect(excess, exposure)
+        excessive_count += _tail_latency.exceeds_neighbour_effect(
+            excess, exposure
+        )
     return known_count > 0 and excessive_count * 2 > known_count
 
 
--- a/src/tulippin/jobs/_choosing.py
+++ b/src/tulippin/jobs/_worker_selection.py
@@ -5,7 +5,7 @@
 import operator
 import typing as t
 
-from tulippin.jobs import _feasibility, _headroom, _scoring, _trials
+from tulippin.jobs import _feasibility, _headroom, _probation, _scoring
 from tulippin.jobs.state import Job, SchedulerState, Task, Worker
 from tulippin.jobs.types import Step
 
@@ -122,7 +122,7 @@
         score += _STANDBY_WEIGHT
     if step.preferred_rack and step.preferred_rack not in worker.entry.labels:
         score += _FAR_RACK_WEIGHT
-    return score + _RISK_WEIGHT * _trials.get_risk(task, worker)
+    return score + _RISK_WEIGHT * _probation.get_risk(task, worker)
 
 
 def _score_serving(worker: Worker, step: Step) -> float:
--- a/src/tulippin/jobs/_workers.py
+++ b/src/tulippin/jobs/_workers.py
@@ -15,8 +15,8 @@
     _interference,
     _ownership,
     _pacing,
-    _trials,
-    _unseen,
+    _probation,
+    _unconfirmed_runs,
 )
 from tulippin.jobs._dispatch import Context, handle
 from tulippin.jobs.effects import ForgetWorker, HoldWorker
@@ -194,7 +194,7 @@
     if is_answering and _ownership.may_extend_leases(state):
         lease_ms = state.config.worker_lease_ms
         deadline_ms = get_clock_ms(worker, state) + lease_ms
-        _unseen.extend_lapse_time(worker, lease_ms, state)
+        _unconfirmed_runs.extend_lapse_time(worker, lease_ms, state)
     worker.is_hold_in_flight = True
     worker.needs_ack = False
     context.emit(
@@ -223,7 +223,7 @@
     """Return how long a hold call may wait at the worker for an end."""
     if not worker.is_reconciled or worker.failed_count:
         return 0
-    if worker.orphaned_runs or _trials.has_probation(worker):
+    if worker.orphaned_runs or _probation.has_probation(worker):
         return _PENDING_HOLD_WAIT_MS
     for attempt in worker.attempts.values():
         if attempt.state in _PENDING_STATES:
--- a/src/tulippin/jobs/core.py
+++ b/src/tulippin/jobs/core.py
@@ -8,7 +8,7 @@
 import typing as t
 
 from tulippin.jobs import (
-    _advising,
+    _advisory_inputs,
     _committing,
     _draining,
     _giving_up,
@@ -16,12 +16,12 @@
     _lifecycle,
     _ownership,
     _pacing,
-    _passing,
     _placing,
-    _refusals,
     _reports,
-    _soundness,
-    _spares,
+    _standby_workers,
+    _transfers,
+    _wait_diagnostics,
+    _worker_health,
     _workers,
 )
 from tulippin.jobs._dispatch import Context, handle
@@ -66,8 +66,8 @@
     if state.now_ms:
         _ownership.note_suspension(context, gap_ms)
     state.now_ms = max(state.now_ms, event.at_ms)
-    if isinstance(event, _advising.ADVISORY_EVENTS):
-        _advising.handle_advisory(event, context)
+    if isinstance(event, _advisory_inputs.ADVISORY_EVENTS):
+        _advisory_inputs.handle_advisory(event, context)
     else:
         handle(event, context)
     if state.ownership.phase is Phase.STANDING_BY:
@@ -88,19 +88,19 @@
     """Run periodic work, after all ready tasks have been placed."""
     _pacing.tick(context)
     _giving_up.tick(context)
-    _spares.tick(context)
+    _standby_workers.tick(context)
     _draining.tick(context)
-    _passing.tick(context)
+    _transfers.tick(context)
     _headroom.tick(context)
-    _refusals.log_waits(context)
+    _wait_diagnostics.log_waits(context)
 
 
 def _evaluate_report(event: WorkerAnswered, context: Context) -> None:
     """Update model, worker health and paces from a worker's report."""
     worker = context.state.workers.get(event.worker_id)
     if worker is not None:
-        _advising.learn(worker, event, context)
-        _soundness.judge(worker, context)
+        _advisory_inputs.learn(worker, event, context)
+        _worker_health.judge(worker, context)
         _pacing.adjust(worker, context)
 
 
--- a/src/tulippin/jobs/intake.py
+++ b/src/tulippin/jobs/intake.py
@@ -13,8 +13,8 @@
 from tulippin.codec_json import encode
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs._ownership import count_waiting
-from tulippin.jobs._resolving import transact_with_retries
 from tulippin.jobs._rows import is_unreadable, read_record, read_row
+from tulippin.jobs._transactions import transact_with_retries
 from tulippin.jobs.ports import (
     RowCondition,
     RowStore,
--- a/src/tulippin/jobs/shell.py
+++ b/src/tulippin/jobs/shell.py
@@ -14,9 +14,9 @@
 import trio
 
 from tulippin.exceptions import UnavailableError
-from tulippin.jobs import _balancing
+from tulippin.jobs import _home_selection
 from tulippin.jobs import events as ev
-from tulippin.jobs._resolving import AnswerTimes
+from tulippin.jobs._transactions import AnswerTimes
 from tulippin.jobs._unit_feeds import FEED_RETRY_PAUSE_S, FEED_WAIT_MS
 from tulippin.jobs._unit_watch import UnitWatch
 from tulippin.jobs.layout import get_rack
@@ -91,7 +91,7 @@
         self._is_leaving = False
         self._nursery: trio.Nursery | None = None
         self._manager: t.Any = None
-        self._demands = _balancing.RoutedDemand(
+        self._demands = _home_selection.RoutedDemand(
             random.Random(config.session_id)
         )
 
@@ -200,7 +200,7 @@
         """Return the home unit for a new job, or None without a layout."""
         if self.layout is None or not self.units:
             return None
-        return _balancing.choose_unit(
+        return _home_selection.choose_unit(
             request, self.units, self.layout, self._demands, self.clock()
         )
 
--- a/src/tulippin/jobs/state.py
+++ b/src/tulippin/jobs/state.py
@@ -11,6 +11,7 @@
 
 import attrs
 
+from tulippin.jobs.load_cycles import LoadCycleModel
 from tulippin.jobs.pair_model import PairModel
 from tulippin.jobs.records import (
     CrashRecord,
@@ -21,7 +22,6 @@
     Unit,
     UnitCapacity,
 )
-from tulippin.jobs.swings import LoadCycleModel
 from tulippin.jobs.types import (
     Configuration,
     JobRequest,
--- a/src/tulippin/jobs/unit_shell.py
+++ b/src/tulippin/jobs/unit_shell.py
@@ -21,10 +21,10 @@
 )
 from tulippin.jobs import effects as fx
 from tulippin.jobs import events as ev
+from tulippin.jobs._event_sources import list_sources, name_row
 from tulippin.jobs._perform import perform
-from tulippin.jobs._resolving import AnswerTimes
 from tulippin.jobs._restarts import RestartLog
-from tulippin.jobs._sources import list_sources, name_row
+from tulippin.jobs._transactions import AnswerTimes
 from tulippin.jobs._unit_feeds import UnitFeeds
 from tulippin.jobs._unit_rows import UnitRows
 from tulippin.jobs.ports import SchedulerPorts, StoredRow
--- a/src/tulippin/platform/callers.py
+++ b/src/tulippin/platform/callers.py
@@ -16,7 +16,7 @@
     InputError,
     UnavailableError,
 )
-from tulippin.jobs._row_checks import (
+from tulippin.jobs._record_validation import (
     MAX_AMOUNT,
     MAX_DURATION_MS,
     MAX_TASKS,
--- a/src/tulippin/platform/feeds.py
+++ b/src/tulippin/platform/feeds.py
@@ -9,7 +9,7 @@
 import attrs
 import msgspec
 
-from tulippin.jobs._row_checks import MAX_DURATION_MS
+from tulippin.jobs._record_validation import MAX_DURATION_MS
 from tulippin.jobs.ports import RowStore, StoredRow
 from tulippin.jobs.types import (
     Configuration,
--- a/src/tulippin/row_table.py
+++ b/src/tulippin/row_table.py
@@ -7,7 +7,7 @@
 import attrs
 
 from tulippin.exceptions import AnswerLostError
-from tulippin.jobs._resolving import transact_with_retries
+from tulippin.jobs._transactions import transact_with_retries
 from tulippin.jobs.ports import (
     RowCondition,
     RowStore,
--- a/src/tulippin/scheduler_process_records.py
+++ b/src/tulippin/scheduler_process_records.py
@@ -18,7 +18,7 @@
 from tulippin import failures
 from tulippin.codec_json import encode
 from tulippin.exceptions import UnavailableError
-from tulippin.jobs._row_checks import find_fault
+from tulippin.jobs._record_validation import find_fault
 from tulippin.jobs._rows import (
     get_version,
     log_unreadable,
--- a/tests/scheduler_soak.py
+++ b/tests/scheduler_soak.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     QUEUE,
     make_config_body,
--- a/tests/unit_on_paper.py
+++ b/tests/simulated_unit.py
@@ -14,7 +14,7 @@
 from tulippin.jobs import effects as fx
 from tulippin.jobs import events as ev
 from tulippin.jobs._accounts import make_release_writes
-from tulippin.jobs._row_checks import find_fault, find_progress_fault
+from tulippin.jobs._record_validation import find_fault, find_progress_fault
 from tulippin.jobs.ports import StoredRow
 from tulippin.jobs.records import (
     ACCOUNTS_TABLE,
--- a/tests/tulippin/jobs/test_accounts.py
+++ b/tests/tulippin/jobs/test_accounts.py
@@ -9,11 +9,11 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import QUEUE, make_request, make_step, open_fleet
+from scheduler_fleet import QUEUE, make_request, make_step, open_fleet
 from tulippin.codec_json import decode
 from tulippin.jobs._attempts import apply_end
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._unseen import (
+from tulippin.jobs._unconfirmed_runs import (
     are_earlier_runs_confirmed,
     begin,
     get_unconfirmed_ms,
--- a/tests/tulippin/jobs/test_availability.py
+++ b/tests/tulippin/jobs/test_availability.py
@@ -9,8 +9,8 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import QUEUE, make_request, make_step, open_fleet
-from tulippin.jobs import _availability, _pacing, _soundness
+from scheduler_fleet import QUEUE, make_request, make_step, open_fleet
+from tulippin.jobs import _availability, _pacing, _worker_health
 from tulippin.jobs._attempts import add_attempt
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._lifecycle import get_task
@@ -262,7 +262,7 @@
     state.tails[JOB] = {
         TaskKey(JOB, 0, 0, index): (10.0, state.now_ms) for index in (7, 8)
     }
-    _soundness.judge(worker, Context(state))
+    _worker_health.judge(worker, Context(state))
 
 
 @pytest.mark.parametrize(
--- a/tests/tulippin/jobs/test_begun_tasks.py
+++ b/tests/tulippin/jobs/test_begun_tasks.py
@@ -4,14 +4,14 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     QUEUE,
     make_long_running_request,
     make_request,
     make_step,
     open_fleet,
 )
-from tulippin.jobs import _ready, _row_checks
+from tulippin.jobs import _ready_queues, _record_validation
 from tulippin.jobs.records import ProgressRecord
 from tulippin.jobs.types import JobState
 
@@ -25,7 +25,7 @@
     state = fleet.instances[fleet.get_owner()].state
     job = state.jobs[JOB]
     return [
-        _ready.ran_before(job, task)
+        _ready_queues.ran_before(job, task)
         for tasks in state.ready.values()
         for task in tasks.values()
     ]
@@ -90,8 +90,8 @@
 def test_invalid_begun_bits_are_rejected(bits):
     request = make_request(make_step(4, long_running=True))
     record = ProgressRecord(JobState.RUNNING, begun={'0.0': 'f'})
-    assert not _row_checks.find_progress_fault(record, request)
+    assert not _record_validation.find_progress_fault(record, request)
     invalid = attrs.evolve(record, begun={'0.0': bits})
-    assert _row_checks.find_progress_fault(invalid, request)
+    assert _record_validation.find_progress_fault(invalid, request)
     invalid = attrs.evolve(record, begun={'0.1': '1'})
-    assert _row_checks.find_progress_fault(invalid, request)
+    assert _record_validation.find_progress_fault(invalid, request)
--- a/tests/tulippin/jobs/test_crash_counting.py
+++ b/tests/tulippin/jobs/test_crash_counting.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import make_request, make_step, open_fleet
-from tulippin.jobs import _crashes, _trials
+from scheduler_fleet import make_request, make_step, open_fleet
+from tulippin.jobs import _crashes, _probation
 from tulippin.jobs.records import CrashRecord
 from tulippin.jobs.types import JobState
 
@@ -121,11 +121,11 @@
             await wait_started(fleet, 3)
             await trio.sleep(2.2)
             task, attempt, worker = get_run(fleet)
-            assert not _trials.is_on_probation(attempt, worker)
+            assert not _probation.is_on_probation(attempt, worker)
             request = make_request(make_step(), run_ms=20_000)
             await fleet.submit(beside, request)
             await fleet.wait_running(2)
-            put_on_probation(fleet, beside, _trials.MAX_SUSPECT_AGE_MS)
+            put_on_probation(fleet, beside, _probation.MAX_SUSPECT_AGE_MS)
             with trio.fail_after(LIMIT_S):
                 while worker.worker_id not in task.crashes:
                     await trio.sleep(0.01)
@@ -151,11 +151,11 @@
             await wait_started(fleet, 1)
             await trio.sleep(2.2)
             task, attempt, worker = get_run(fleet)
-            assert not _trials.is_on_probation(attempt, worker)
+            assert not _probation.is_on_probation(attempt, worker)
             request = make_request(make_step(), run_ms=20_000)
             await fleet.submit(beside, request)
             await fleet.wait_running(2)
-            put_on_probation(fleet, beside, _trials.MAX_SUSPECT_AGE_MS)
+            put_on_probation(fleet, beside, _probation.MAX_SUSPECT_AGE_MS)
             with trio.fail_after(LIMIT_S):
                 while worker.worker_id not in task.crashes:
                     await trio.sleep(0.01)
--- a/tests/tulippin/jobs/test_final_review.py
+++ b/tests/tulippin/jobs/test_final_review.py
@@ -20,7 +20,7 @@
 from test_scheduler_headroom import LASTING as FLEET_LASTING
 from test_scheduler_headroom import WORKER_CORES, open_busy_fleet
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     make_long_running_request,
     make_request,
     make_step,
@@ -28,9 +28,9 @@
 )
 from tulippin.codec_json import encode
 from tulippin.jobs import (
-    _choosing,
     _demand,
     _headroom,
+    _worker_selection,
 )
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._rows import read_record
@@ -49,7 +49,9 @@
     step = attrs.evolve(make_service_request(cpu=cores * CORE), **options)
     job = make_job(state, 'new', state.now_ms, (step,))
     job.queue = LASTING
-    return _choosing.choose(job, Task(TaskKey('new', 0, 0, 0)), step, state)
+    return _worker_selection.choose(
+        job, Task(TaskKey('new', 0, 0, 0)), step, state
+    )
 
 
 def fill(state, numbers, cores):
--- a/tests/tulippin/jobs/test_headroom.py
+++ b/tests/tulippin/jobs/test_headroom.py
@@ -12,7 +12,7 @@
     make_state,
 )
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     HIGH_PRIORITY_QUEUE,
     LOW_PRIORITY_QUEUE,
     make_request,
@@ -20,12 +20,12 @@
     open_fleet,
 )
 from tulippin.jobs import (
-    _choosing,
     _demand,
     _headroom,
     _placing,
-    _ready,
-    _rooms,
+    _ready_queues,
+    _unit_capacity,
+    _worker_selection,
 )
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.records import UnitCapacity
@@ -75,7 +75,7 @@
     count = 0
     while True:
         task = Task(TaskKey('lasting', 0, 0, count), **options)
-        worker = _choosing.choose(job, task, step, state)
+        worker = _worker_selection.choose(job, task, step, state)
         if worker is None:
             return count
         make_attempt(worker, step, 'lasting', count)
@@ -227,7 +227,7 @@
     step = Step(1, Resources(10_000, 1000))
     job = make_job(state, 'wide', state.now_ms, (step,))
     task = Task(TaskKey('wide', 0, 0, 0))
-    assert _choosing.choose(job, task, step, state) is not None
+    assert _worker_selection.choose(job, task, step, state) is not None
 
 
 @pytest.mark.parametrize('cores', [0, 6])
@@ -237,11 +237,13 @@
     if cores:
         add_short_demand(state, cores)
     make_attempt(state.workers['w0'], make_service_request(cpu=6000))
-    room = _rooms.measure(state)
+    room = _unit_capacity.measure(state)
     step = make_service_request(cpu=3000)
-    assert _rooms.fits_in_unit(room, step, is_new=True) is not bool(cores)
-    assert _rooms.fits_in_unit(room, step, is_new=False)
-    assert _rooms.fits_in_unit(
+    assert _unit_capacity.fits_in_unit(room, step, is_new=True) is not bool(
+        cores
+    )
+    assert _unit_capacity.fits_in_unit(room, step, is_new=False)
+    assert _unit_capacity.fits_in_unit(
         room, make_service_request(cpu=1000), is_new=True
     )
 
@@ -250,7 +252,7 @@
     """Lease rows of owners of an earlier version lack the figure."""
     room = UnitCapacity(10_000, 0, largest_free=Resources(5000, 1000))
     step = make_service_request(cpu=3000)
-    assert _rooms.fits_in_unit(room, step, is_new=True)
+    assert _unit_capacity.fits_in_unit(room, step, is_new=True)
 
 
 # Guards against urgent short jobs that find no worker under full load. Short
@@ -299,7 +301,7 @@
     for number in range(60):
         job = make_job(state, f'{number}', state.now_ms - 10_000, (step,))
         job.queue = LASTING
-        _ready.add(Task(TaskKey(job.job_id, 0, 0, 0)), step, state)
+        _ready_queues.add(Task(TaskKey(job.job_id, 0, 0, 0)), step, state)
     counted = []
     measure = _headroom._measure
     monkeypatch.setattr(
--- a/tests/tulippin/jobs/test_headroom_review.py
+++ b/tests/tulippin/jobs/test_headroom_review.py
@@ -23,7 +23,7 @@
     send_bursts,
 )
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     HIGH_PRIORITY_QUEUE,
     LOW_PRIORITY_QUEUE,
     get_max_downtime_ms,
@@ -34,12 +34,12 @@
 )
 from tulippin.codec_json import encode
 from tulippin.jobs import (
-    _choosing,
     _demand,
     _headroom,
-    _ready,
-    _rooms,
-    _row_checks,
+    _ready_queues,
+    _record_validation,
+    _unit_capacity,
+    _worker_selection,
 )
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.ports import StoredRow
@@ -59,7 +59,9 @@
     step = attrs.evolve(make_service_request(cpu=cores * CORE), **options)
     job = make_job(state, 'new', state.now_ms, (step,))
     job.queue = queue
-    return _choosing.choose(job, Task(TaskKey('new', 0, 0, 0)), step, state)
+    return _worker_selection.choose(
+        job, Task(TaskKey('new', 0, 0, 0)), step, state
+    )
 
 
 def find_headroom_of_new(state, cores=1):
@@ -210,7 +212,7 @@
     step = Step(4, Resources(6 * CORE, 1000), estimated_ms=1000)
     job = make_job(state, 'wide', state.now_ms, (step,))
     for index in range(4):
-        _ready.add(Task(TaskKey('wide', 0, 0, index)), step, state)
+        _ready_queues.add(Task(TaskKey('wide', 0, 0, index)), step, state)
     state.jobs['wide'] = job
     state.now_ms += 60_000
     assert choose_new(state, 2) is None
@@ -265,12 +267,12 @@
     job.queue = UNIT_LASTING
     for index in range(20):
         task = Task(TaskKey('heavy', 0, 0, index))
-        worker = _choosing.choose(job, task, heavy, state)
+        worker = _worker_selection.choose(job, task, heavy, state)
         if worker is not None:
             make_attempt(worker, heavy, 'heavy', index)
     job = make_job(state, 'late', state.now_ms, (step,))
     task = Task(TaskKey('late', 0, 0, 0))
-    assert _choosing.choose(job, task, step, state) is not None
+    assert _worker_selection.choose(job, task, step, state) is not None
 
 
 # Guards against headroom rules for tasks that reserve no processors.
@@ -292,20 +294,20 @@
     brief = attrs.evolve(step, long_running=False)
     short = make_job(state, 'short', state.now_ms, (brief,))
     idle = Task(TaskKey('short', 0, 0, 0))
-    assert _choosing.choose(short, idle, brief, state) is not None
-    assert _choosing.choose(job, task, step, state) is not None
+    assert _worker_selection.choose(short, idle, brief, state) is not None
+    assert _worker_selection.choose(job, task, step, state) is not None
 
 
 # Guards against an extreme job that makes the lease of its unit unreadable.
 @pytest.mark.parametrize('estimated_ms', [1000, 10**9])
 def test_lease_is_readable_whatever_is_asked_for(estimated_ms):
     state = make_state(2)
-    size = Resources(_row_checks.MAX_AMOUNT, 1000)
-    step = Step(_row_checks.MAX_TASKS, size, estimated_ms=estimated_ms)
-    assert not _row_checks.find_fault(JobRequest('', (step,)))
+    size = Resources(_record_validation.MAX_AMOUNT, 1000)
+    step = Step(_record_validation.MAX_TASKS, size, estimated_ms=estimated_ms)
+    assert not _record_validation.find_fault(JobRequest('', (step,)))
     job = make_job(state, 'huge', state.now_ms, (step,))
     _demand.note_step(job, step, step.task_count, state)
-    lease = LeaseRecord('i0:1', 'i0', 7, room=_rooms.measure(state))
+    lease = LeaseRecord('i0:1', 'i0', 7, room=_unit_capacity.measure(state))
     row = StoredRow('u', 'u0', 'lease', encode(lease), 1)
     assert read_record(row, LeaseRecord) is not None
 
--- a/tests/tulippin/jobs/test_balancing.py
+++ b/tests/tulippin/jobs/test_home_selection.py
@@ -6,7 +6,7 @@
 import attrs
 from test_scheduler_decisions import make_job, make_service_request, make_state
 
-from tulippin.jobs import _balancing, _ready, _rooms
+from tulippin.jobs import _home_selection, _ready_queues, _unit_capacity
 from tulippin.jobs.records import (
     FIT_COUNT_SIZES,
     LayoutRecord,
@@ -59,9 +59,9 @@
     layout = LayoutRecord({f'r{number}': number for number in units})
     counts = collections.Counter()
     for _ in range(draws):
-        demands = _balancing.RoutedDemand(source)
+        demands = _home_selection.RoutedDemand(source)
         counts[
-            _balancing.choose_unit(request, units, layout, demands, NOW_MS)
+            _home_selection.choose_unit(request, units, layout, demands, NOW_MS)
         ] += 1
     return counts
 
@@ -92,10 +92,10 @@
 def test_jobs_sent_since_the_lease_row_use_capacity():
     units = make_units(20, 20, 20)
     layout = LayoutRecord({f'r{number}': number for number in units})
-    demands = _balancing.RoutedDemand(random.Random(1))
+    demands = _home_selection.RoutedDemand(random.Random(1))
     request = make_request(18)
     chosen = [
-        _balancing.choose_unit(request, units, layout, demands, NOW_MS)
+        _home_selection.choose_unit(request, units, layout, demands, NOW_MS)
         for _ in range(3)
     ]
     assert sorted(chosen) == [0, 1, 2]
@@ -109,9 +109,9 @@
 
 def test_sizes_between_two_published_ones_count_as_the_larger():
     room = UnitCapacity(CAPACITY, 0, places=(90, 40, 25, 18, 11))
-    assert _rooms.count_fitting(room, 5300) == 11
-    assert _rooms.count_fitting(room, 1000) == 90
-    assert _rooms.count_fitting(room, 7000) == 0
+    assert _unit_capacity.count_fitting(room, 5300) == 11
+    assert _unit_capacity.count_fitting(room, 1000) == 90
+    assert _unit_capacity.count_fitting(room, 7000) == 0
 
 
 def test_urgent_job_goes_where_only_long_running_work_waits():
@@ -132,10 +132,10 @@
     step = make_service_request(cpu=3000)
     for number in range(8):
         job = make_job(state, f'{number}', state.now_ms, (step,))
-        _ready.add(Task(TaskKey(job.job_id, 0, 0, 0)), step, state)
-    room = _rooms.measure(state)
-    assert _rooms.count_fitting(room, 3000) == 0
-    assert _rooms.count_fitting(room, 3000, is_short=True) == 6
+        _ready_queues.add(Task(TaskKey(job.job_id, 0, 0, 0)), step, state)
+    room = _unit_capacity.measure(state)
+    assert _unit_capacity.count_fitting(room, 3000) == 0
+    assert _unit_capacity.count_fitting(room, 3000, is_short=True) == 6
 
 
 def set_waiting(unit, **images):
@@ -171,9 +171,9 @@
 def test_jobs_sent_since_count_as_waiting():
     units = make_units(9, 9, 9)
     layout = LayoutRecord({f'r{number}': number for number in units})
-    demands = _balancing.RoutedDemand(random.Random(1))
+    demands = _home_selection.RoutedDemand(random.Random(1))
     chosen = collections.Counter(
-        _balancing.choose_unit(
+        _home_selection.choose_unit(
             make_opportunistic_request(), units, layout, demands, NOW_MS
         )
         for _ in range(30)
--- a/tests/tulippin/jobs/test_odd_rooms.py
+++ b/tests/tulippin/jobs/test_invalid_capacities.py
@@ -9,13 +9,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleet_of_schedulers import make_step
+from scheduler_fleet import make_step
 from tulippin.codec_json import encode
 from tulippin.jobs import _demand
-from tulippin.jobs._evening import choose_units
-from tulippin.jobs._passing import _accepts_transfers, _get_load
-from tulippin.jobs._rooms import count_fitting, fits_in_unit, measure_load
+from tulippin.jobs._rebalancing import choose_units
 from tulippin.jobs._rows import read_record
+from tulippin.jobs._transfers import _accepts_transfers, _get_load
+from tulippin.jobs._unit_capacity import (
+    count_fitting,
+    fits_in_unit,
+    measure_load,
+)
 from tulippin.jobs.ports import StoredRow
 from tulippin.jobs.records import (
     DemandRecord,
--- a/tests/tulippin/jobs/test_odd_jobs.py
+++ b/tests/tulippin/jobs/test_invalid_jobs.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fleet_of_schedulers import JOB, QUEUE, make_request, open_fleet
+from scheduler_fleet import JOB, QUEUE, make_request, open_fleet
 from tulippin.codec_json import encode
 from tulippin.exceptions import InputError
 from tulippin.jobs._rows import read_record
--- a/tests/tulippin/jobs/test_odd_reports.py
+++ b/tests/tulippin/jobs/test_invalid_reports.py
@@ -17,7 +17,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from fleet_of_schedulers import QUEUE
+from scheduler_fleet import QUEUE
 from tulippin._http_client import HttpAnswer
 from tulippin.codec_json import encode
 from tulippin.exceptions import AnswerLostError
@@ -26,10 +26,10 @@
 from tulippin.jobs import events as ev
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._lifecycle import make_progress, open_steps
-from tulippin.jobs._memory import make_record
+from tulippin.jobs._model_store import make_record
+from tulippin.jobs._record_validation import find_fault, find_progress_fault
 from tulippin.jobs._reports import adopt_orphaned_runs
-from tulippin.jobs._rooms import measure
-from tulippin.jobs._row_checks import find_fault, find_progress_fault
+from tulippin.jobs._unit_capacity import measure
 from tulippin.jobs.layout import extend_layout, make_layout
 from tulippin.jobs.records import EpochRecord
 from tulippin.jobs.state import (
--- a/tests/tulippin/jobs/test_foreign_units.py
+++ b/tests/tulippin/jobs/test_invalid_unit_rows.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     QUEUE,
     make_config_body,
     make_request,
--- a/tests/tulippin/jobs/test_swings.py
+++ b/tests/tulippin/jobs/test_load_cycles.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tulippin.jobs.swings import LoadCycleModel, Wave
+from tulippin.jobs.load_cycles import LoadCycleModel, Wave
 
 PERIOD_MS = 14_000
 
--- a/tests/tulippin/jobs/test_loading_leases.py
+++ b/tests/tulippin/jobs/test_loading_leases.py
@@ -11,8 +11,8 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import QUEUE, make_request, make_step, open_fleet
-from tulippin.jobs import _balancing
+from scheduler_fleet import QUEUE, make_request, make_step, open_fleet
+from tulippin.jobs import _home_selection
 from tulippin.jobs.records import (
     LayoutRecord,
     LeaseRecord,
@@ -162,11 +162,11 @@
     layout = LayoutRecord({f'r{number}': number for number in units})
     source = random.Random(1)
     return {
-        _balancing.choose_unit(
+        _home_selection.choose_unit(
             JobRequest('', (step,)),
             units,
             layout,
-            _balancing.RoutedDemand(source),
+            _home_selection.RoutedDemand(source),
             NOW_MS,
         )
         for _ in range(100)
--- a/tests/tulippin/jobs/test_model_checks.py
+++ b/tests/tulippin/jobs/test_model_checks.py
@@ -18,14 +18,14 @@
 from tulippin.jobs import (
     SchedulerConfig,
     _interference,
-    _row_checks,
+    _record_validation,
     core,
     make_state,
 )
 from tulippin.jobs._attempts import add_attempt
-from tulippin.jobs._memory import restore
-from tulippin.jobs._model_checks import drop_faults
-from tulippin.jobs._row_checks import find_fault
+from tulippin.jobs._model_store import restore
+from tulippin.jobs._model_validation import drop_faults
+from tulippin.jobs._record_validation import find_fault
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.events import ModelsSeen
 from tulippin.jobs.ports import StoredRow
@@ -318,7 +318,9 @@
     """Guards against a fault that dropped the whole model of a unit."""
     invalid = change_pair(covariances=[[0.0, 0.0], [0.01]])
     record = attrs.evolve(MODEL, pairs={'web': invalid, 'api': VALID_PAIR})
-    kept, faults = _row_checks.drop_faults(decode(encode(record), ModelRecord))
+    kept, faults = _record_validation.drop_faults(
+        decode(encode(record), ModelRecord)
+    )
     assert len(faults) == 1
     state = make_state(SchedulerConfig('i', 'i:1'))
     restore(kept, state)
@@ -331,9 +333,9 @@
 def test_non_advisory_records_are_not_changed():
     """A worker dropped from a roster would not be called by the next owner."""
     roster = RosterRecord({'w0': 'a:80'})
-    assert _row_checks.drop_faults(roster) == (roster, ())
+    assert _record_validation.drop_faults(roster) == (roster, ())
     progress = ProgressRecord(JobState.RUNNING, {'0.9': 'f'})
-    assert _row_checks.drop_faults(progress) == (progress, ())
+    assert _record_validation.drop_faults(progress) == (progress, ())
 
 
 def test_invalid_images_of_a_row_drop_only_themselves():
--- a/tests/tulippin/jobs/test_pair_model.py
+++ b/tests/tulippin/jobs/test_pair_model.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tulippin.jobs import SchedulerConfig, make_state
-from tulippin.jobs._memory import make_record, restore
+from tulippin.jobs._model_store import make_record, restore
 from tulippin.jobs.pair_model import MIN_VARIANCE, ImageModel, PairModel
 
 TRUE_EXCESS = {'a': 0.0, 'b': 0.25, 'c': 0.1}
--- a/tests/tulippin/jobs/test_kept_model_review.py
+++ b/tests/tulippin/jobs/test_persisted_model_cases.py
@@ -6,7 +6,7 @@
 """
 
 from tulippin.codec_json import encode
-from tulippin.jobs import SchedulerConfig, _memory, make_state, reduce
+from tulippin.jobs import SchedulerConfig, _model_store, make_state, reduce
 from tulippin.jobs._rows import read_record
 from tulippin.jobs.effects import ReleaseLease
 from tulippin.jobs.events import LeaseRenewed, StopRequested
@@ -22,7 +22,7 @@
 
 
 def persist_and_read(state):
-    value = encode(_memory.make_record(state))
+    value = encode(_model_store.make_record(state))
     row = StoredRow(MODELS_TABLE, 'u0', MODEL_KEY, value, 3)
     return read_record(row, ModelRecord)
 
@@ -35,7 +35,7 @@
     record = persist_and_read(state)
     assert record is not None
     restored = make_state(state.config)
-    _memory.restore(record, restored)
+    _model_store.restore(record, restored)
     model = restored.model.images['web']
     assert model.get_covariance('batch', 'batch') >= MIN_VARIANCE
 
--- a/tests/tulippin/jobs/test_kept_models.py
+++ b/tests/tulippin/jobs/test_persisted_models.py
@@ -14,8 +14,8 @@
 from tulippin.codec_json import decode, encode
 from tulippin.jobs import SchedulerConfig, _interference, _ranking, make_state
 from tulippin.jobs._attempts import add_attempt
-from tulippin.jobs._memory import make_record, restore
-from tulippin.jobs._row_checks import find_fault
+from tulippin.jobs._model_store import make_record, restore
+from tulippin.jobs._record_validation import find_fault
 from tulippin.jobs.pair_model import PairModel
 from tulippin.jobs.records import ModelRecord
 from tulippin.jobs.state import Attempt, AttemptState, Job, Task, Worker
--- a/tests/tulippin/jobs/test_reached_records.py
+++ b/tests/tulippin/jobs/test_reached_records.py
@@ -10,6 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from simulated_unit import REQUESTS, SimulatedUnit, encode_and_validate
 from tulippin.jobs.layout import extend_layout, make_layout
 from tulippin.jobs.records import AccountRecord, HomeRecord, WorkerAccount
 from tulippin.jobs.state import Phase
@@ -20,7 +21,6 @@
     WorkerEntry,
 )
 from tulippin.types import Resources
-from unit_on_paper import REQUESTS, SimulatedUnit, encode_and_validate
 
 numbers = st.integers(0, 5)
 tails = st.one_of(st.sampled_from([0.0, 14.0]), st.floats(0.5, 200))
--- a/tests/tulippin/jobs/test_evening.py
+++ b/tests/tulippin/jobs/test_rebalancing.py
@@ -4,8 +4,8 @@
 import trio
 from test_scheduler_units import get_running, open_units
 
-from fleet_of_schedulers import QUEUE, make_request, make_step
-from tulippin.jobs import _choosing, _evening
+from scheduler_fleet import QUEUE, make_request, make_step
+from tulippin.jobs import _rebalancing, _worker_selection
 from tulippin.jobs.types import JobState
 
 LIMIT_MS = 3000
@@ -85,7 +85,7 @@
 def test_without_rebalancing_some_units_get_twice_as_much(
     run_virtual, monkeypatch
 ):
-    monkeypatch.setattr(_evening, 'choose_units', lambda state: {})
+    monkeypatch.setattr(_rebalancing, 'choose_units', lambda state: {})
 
     async def run():
         async with open_ten_units() as fleet:
@@ -145,7 +145,7 @@
     run_virtual, monkeypatch
 ):
     """Neither the home unit nor the receiving unit counted them."""
-    monkeypatch.setattr(_choosing, 'choose', lambda *_: None)
+    monkeypatch.setattr(_worker_selection, 'choose', lambda *_: None)
 
     async def run():
         async with open_ten_units() as fleet:
--- a/tests/tulippin/jobs/test_records.py
+++ b/tests/tulippin/jobs/test_records.py
@@ -11,7 +11,7 @@
 import logbook
 import pytest
 import trio
-from test_foreign_rows import (
+from test_invalid_rows import (
     JOB,
     OTHER,
     QUEUE,
@@ -26,10 +26,10 @@
 )
 
 from tulippin.codec_json import decode, encode
-from tulippin.jobs import _unseen, core
+from tulippin.jobs import _unconfirmed_runs, core
 from tulippin.jobs._accounts import make_release_writes
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._row_checks import find_fault, find_progress_fault
+from tulippin.jobs._record_validation import find_fault, find_progress_fault
 from tulippin.jobs.effects import CommitProgress, ReleaseLease
 from tulippin.jobs.events import ProgressCommitted
 from tulippin.jobs.records import (
@@ -151,7 +151,9 @@
     answer(state, 'w1')
     for worker in state.workers.values():
         worker.is_rostered = True
-    account = write_account(_unseen.make_account(Context(state)), state)
+    account = write_account(
+        _unconfirmed_runs.make_account(Context(state)), state
+    )
     assert account.workers['w0'].tasks == (f'{JOB}.0.0.1',)
 
 
--- a/tests/tulippin/jobs/test_scheduler_crashes.py
+++ b/tests/tulippin/jobs/test_scheduler_crashes.py
@@ -10,13 +10,13 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     make_request,
     make_step,
     open_fleet,
 )
-from tulippin.jobs import _crashes, _lifecycle, _trials
+from tulippin.jobs import _crashes, _lifecycle, _probation
 from tulippin.jobs.records import CrashRecord
 from tulippin.jobs.types import JobState
 from tulippin.jobs.views import show_job
@@ -211,8 +211,8 @@
 
 
 def test_healthy_jobs_fail_without_isolation(run_virtual, monkeypatch):
-    monkeypatch.setattr(_trials, 'may_start_beside', lambda *_: True)
-    monkeypatch.setattr(_trials, 'get_risk', lambda *_: 0.0)
+    monkeypatch.setattr(_probation, 'may_start_beside', lambda *_: True)
+    monkeypatch.setattr(_probation, 'get_risk', lambda *_: 0.0)
 
     async def run():
         async with open_fleet(workers=6) as fleet:
@@ -339,7 +339,7 @@
     """
     blocked = get_healthy_id(1)
     monkeypatch.setattr(
-        _trials,
+        _probation,
         'may_start_beside',
         lambda worker, task, state: task.key[0] != blocked,
     )
--- a/tests/tulippin/jobs/test_scheduler_decisions.py
+++ b/tests/tulippin/jobs/test_scheduler_decisions.py
@@ -4,12 +4,12 @@
 import pytest
 
 from tulippin.jobs import (
-    _choosing,
     _interference,
     _pacing,
     _ranking,
-    _soundness,
-    _tails,
+    _tail_latency,
+    _worker_health,
+    _worker_selection,
     core,
 )
 from tulippin.jobs._attempts import add_attempt
@@ -69,7 +69,7 @@
         NOW_MS - 5000,
         load=load,
     )
-    _tails.update_tail(attempt, load, NOW_MS)
+    _tail_latency.update_tail(attempt, load, NOW_MS)
     add_attempt(attempt, Task(key), worker)
     return attempt
 
@@ -98,7 +98,7 @@
         state.now_ms += 400
         set_sibling_tails(state)
         for attempt in worker.serving.values():
-            _tails.update_tail(attempt, tail_ms, state.now_ms)
+            _tail_latency.update_tail(attempt, tail_ms, state.now_ms)
         _interference.learn(worker, state)
 
 
@@ -170,7 +170,7 @@
     make_attempt(worker, make_filler(), 'b', load=1000.0)
     for _ in range(3):
         state.now_ms += 400
-        _tails.update_tail(attempt, 30.0, state.now_ms)
+        _tail_latency.update_tail(attempt, 30.0, state.now_ms)
         _interference.learn(worker, state)
     assert not state.model.images
 
@@ -182,7 +182,7 @@
     for _ in range(20):
         state.now_ms += 400
         set_sibling_tails(state, 20.0)
-        _tails.update_tail(attempt, 30.0, state.now_ms)
+        _tail_latency.update_tail(attempt, 30.0, state.now_ms)
         _interference.learn(worker, state)
     assert attempt.sibling_load_factor == pytest.approx(4 / 3, abs=0.02)
     assert _interference.get_observed_excess(attempt, state, 0.0) == 0
@@ -192,7 +192,7 @@
     state = make_state()
     attempt = make_attempt(state.workers['w0'], make_service_request())
     for number, reading in enumerate((242.0, 134.0, 80.0, 54.0)):
-        _tails.update_tail(attempt, reading, NOW_MS + number * 300)
+        _tail_latency.update_tail(attempt, reading, NOW_MS + number * 300)
     assert attempt.tail_ms < 40
     assert attempt.load == 54.0
 
@@ -200,8 +200,8 @@
 @pytest.mark.parametrize('slowdown', [1.0, 1.2, 1.6])
 @pytest.mark.parametrize('load', [0.1, 0.5])
 def test_tails_and_slowdowns_convert_into_each_other(slowdown, load):
-    tail_ms = _tails.compute_tail_ms(slowdown, 10.0, load)
-    found = _tails.compute_slowdown(tail_ms, 10.0, load)
+    tail_ms = _tail_latency.compute_tail_ms(slowdown, 10.0, load)
+    found = _tail_latency.compute_slowdown(tail_ms, 10.0, load)
     assert found == pytest.approx(slowdown)
 
 
@@ -285,7 +285,7 @@
     make_attempt(worker, make_filler(), 'b', load=1000.0)
     state.now_ms += 400
     set_sibling_tails(state, 20.0)
-    _tails.update_tail(attempt, 60.0, state.now_ms)
+    _tail_latency.update_tail(attempt, 60.0, state.now_ms)
     _interference.learn(worker, state)
     assert state.model.get_weight('web', 'batch') > 0.1
 
@@ -298,7 +298,7 @@
     worker.exposure = {'batch': 3.0}
     state.now_ms += 400
     set_sibling_tails(state, 20.0)
-    _tails.update_tail(attempt, 60.0, state.now_ms)
+    _tail_latency.update_tail(attempt, 60.0, state.now_ms)
     _interference.learn(worker, state)
     assert not state.model.images
 
@@ -376,7 +376,7 @@
         step = make_service_request()
         task = Task(TaskKey('a', 0, 0, index))
         job = make_job(state, 'a', NOW_MS, (step,))
-        worker = _choosing.choose(job, task, step, state)
+        worker = _worker_selection.choose(job, task, step, state)
         make_attempt(worker, step, index=index)
     free = sorted(
         worker.free.cpu_millicores for worker in state.workers.values()
@@ -425,7 +425,7 @@
             TaskKey('a', 0, 0, 7): (10.0, now_ms),
             TaskKey('a', 0, 0, 8): (11.0, now_ms),
         }
-        _soundness.judge(worker, context)
+        _worker_health.judge(worker, context)
     return context.effects
 
 
--- a/tests/tulippin/jobs/test_scheduler_fleet.py
+++ b/tests/tulippin/jobs/test_scheduler_fleet.py
@@ -4,7 +4,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     QUEUE,
     make_request,
@@ -16,8 +16,8 @@
     _attempts,
     _ownership,
     _reports,
+    _unconfirmed_runs,
     _unit_feeds,
-    _unseen,
     intake,
 )
 from tulippin.jobs._perform import perform
@@ -327,7 +327,7 @@
 
 
 def test_tasks_run_twice_without_wait_for_lease(run_virtual, monkeypatch):
-    monkeypatch.setattr(_unseen, 'extend_lapse_time', lambda *_: None)
+    monkeypatch.setattr(_unconfirmed_runs, 'extend_lapse_time', lambda *_: None)
 
     async def run():
         async with open_fleet(workers=2) as fleet:
--- a/tests/tulippin/jobs/test_scheduler_handover.py
+++ b/tests/tulippin/jobs/test_scheduler_handover.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     JOB,
     QUEUE,
     get_max_downtime_ms,
@@ -14,7 +14,7 @@
 )
 from tulippin.codec_json import decode, encode
 from tulippin.exceptions import AnswerLostError
-from tulippin.jobs import _lifecycle, _spares, core
+from tulippin.jobs import _lifecycle, _standby_workers, core
 from tulippin.jobs import effects as fx
 from tulippin.jobs import events as ev
 from tulippin.jobs._dispatch import Context
@@ -468,7 +468,9 @@
     state = fleet.instances[fleet.get_owner()].state
     with trio.fail_after(3):
         while not all(
-            _spares.is_prepared(state.jobs[JOB], state.jobs[JOB].tasks[key])
+            _standby_workers.is_prepared(
+                state.jobs[JOB], state.jobs[JOB].tasks[key]
+            )
             for key, _ in worker.runs
         ):
             await trio.sleep(0.01)
--- a/tests/tulippin/jobs/test_scheduler_headroom.py
+++ b/tests/tulippin/jobs/test_scheduler_headroom.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     HIGH_PRIORITY_QUEUE,
     QUEUE,
     make_config_body,
--- a/tests/tulippin/jobs/test_scheduler_lists.py
+++ b/tests/tulippin/jobs/test_scheduler_lists.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from fleet_of_schedulers import QUEUE, make_request, make_step, open_fleet
+from scheduler_fleet import QUEUE, make_request, make_step, open_fleet
 from tulippin.platform.standin import StandinPlatform
 
 LIMIT_MS = 3000
--- a/tests/tulippin/jobs/test_scheduler_logs.py
+++ b/tests/tulippin/jobs/test_scheduler_logs.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     QUEUE,
     make_long_running_request,
     make_request,
--- a/tests/tulippin/jobs/test_scheduler_lasting.py
+++ b/tests/tulippin/jobs/test_scheduler_long_running.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     get_max_downtime_ms,
     make_long_running_request,
     make_request,
--- a/tests/tulippin/jobs/test_scheduler_harm.py
+++ b/tests/tulippin/jobs/test_scheduler_pacing.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     make_request,
     make_service_request,
--- a/tests/tulippin/jobs/test_scheduler_resolving.py
+++ b/tests/tulippin/jobs/test_scheduler_resolving.py
@@ -9,8 +9,8 @@
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs import _attempts
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._resolving import AnswerTimes, transact_with_retries
 from tulippin.jobs._row_effects import _run_commit, _run_roster
+from tulippin.jobs._transactions import AnswerTimes, transact_with_retries
 from tulippin.jobs.effects import CommitProgress, CommitRoster, ProgressWrite
 from tulippin.jobs.ports import RowCondition, RowWrite, Transaction
 from tulippin.jobs.records import ProgressRecord, RosterRecord
--- a/tests/tulippin/jobs/test_scheduler_review.py
+++ b/tests/tulippin/jobs/test_scheduler_review.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import QUEUE, make_request, make_step, open_fleet
+from scheduler_fleet import QUEUE, make_request, make_step, open_fleet
 from tulippin.exceptions import AnswerLostError, UnavailableError
 from tulippin.jobs import core
 from tulippin.jobs import effects as fx
@@ -16,10 +16,10 @@
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs._lifecycle import get_name
 from tulippin.jobs._placing import _MAX_OVERDUE_STEPS
-from tulippin.jobs._ready import OVERDUE_AFTER_MS
-from tulippin.jobs._ready import add as add_ready
-from tulippin.jobs._resolving import AnswerTimes, transact_with_retries
-from tulippin.jobs._unseen import make_account
+from tulippin.jobs._ready_queues import OVERDUE_AFTER_MS
+from tulippin.jobs._ready_queues import add as add_ready
+from tulippin.jobs._transactions import AnswerTimes, transact_with_retries
+from tulippin.jobs._unconfirmed_runs import make_account
 from tulippin.jobs.ports import Transaction, TransactionResult
 from tulippin.jobs.records import (
     MODEL_KEY,
--- a/tests/tulippin/jobs/test_scheduler_starving.py
+++ b/tests/tulippin/jobs/test_scheduler_starving.py
@@ -4,7 +4,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     make_request,
     make_step,
--- a/tests/tulippin/jobs/test_scheduler_units.py
+++ b/tests/tulippin/jobs/test_scheduler_units.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     QUEUE,
     make_request,
@@ -15,10 +15,10 @@
 )
 from tulippin.exceptions import UnavailableError
 from tulippin.jobs import (
-    _evening,
     _lifecycle,
-    _passing,
+    _rebalancing,
     _row_effects,
+    _transfers,
     events,
 )
 from tulippin.jobs.types import JobState
@@ -166,8 +166,8 @@
 
 
 def test_without_transfers_tasks_would_wait(run_virtual, monkeypatch):
-    monkeypatch.setattr(_passing, '_choose_unit', lambda *_, **__: None)
-    monkeypatch.setattr(_evening, 'choose_units', lambda state: {})
+    monkeypatch.setattr(_transfers, '_choose_unit', lambda *_, **__: None)
+    monkeypatch.setattr(_rebalancing, 'choose_units', lambda state: {})
 
     async def run():
         async with open_units() as fleet:
--- a/tests/tulippin/jobs/test_scheduler_waiting.py
+++ b/tests/tulippin/jobs/test_scheduler_waiting.py
@@ -20,14 +20,14 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     QUEUE,
     make_request,
     make_step,
     open_fleet,
 )
-from tulippin.jobs import _interference, _tails
+from tulippin.jobs import _interference, _tail_latency
 from tulippin.jobs._attempts import add_attempt
 from tulippin.jobs.pair_model import ImageModel
 from tulippin.jobs.state import (
@@ -291,9 +291,9 @@
         attempt = make_attempt(
             state, undisturbed, serving, number, age_ms=young_ms, load=10.0
         )
-        _tails.update_tail(attempt, 10.0, state.now_ms)
+        _tail_latency.update_tail(attempt, 10.0, state.now_ms)
         _interference.learn(undisturbed, state)
-    _tails.update_tail(old, 30.0, state.now_ms)
+    _tail_latency.update_tail(old, 30.0, state.now_ms)
     _interference.learn(disturbed, state)
     # Half of the load alone turns 10 ms into 30 ms.
     assert state.model.get_weight('web', 'batch') <= 0.1
--- a/tests/tulippin/jobs/test_scheduler_waiting_review.py
+++ b/tests/tulippin/jobs/test_scheduler_waiting_review.py
@@ -22,7 +22,7 @@
     tails_follow_load,
 )
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     make_request,
     make_step,
--- a/tests/tulippin/jobs/test_standby.py
+++ b/tests/tulippin/jobs/test_standby.py
@@ -6,7 +6,7 @@
 import trio
 from test_scheduler_units import get_owners, open_units
 
-from fleet_of_schedulers import make_config_body
+from scheduler_fleet import make_config_body
 from tulippin.jobs.unit_shell import UnitShell
 
 WATCHED_S = 10
--- a/tests/tulippin/jobs/test_unit_failures.py
+++ b/tests/tulippin/jobs/test_unit_failures.py
@@ -16,7 +16,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     make_request,
     make_service_request,
     make_step,
@@ -26,11 +26,11 @@
 from tulippin.codec_json import encode
 from tulippin.jobs import (
     SchedulerConfig,
-    _advising,
+    _advisory_inputs,
     _committing,
     _interference,
     _lifecycle,
-    _memory,
+    _model_store,
     _pacing,
     _placing,
     _unit_feeds,
@@ -129,7 +129,9 @@
     'model of another owner': lambda patch: inject_error(
         patch, PairModel, 'update_peers'
     ),
-    'persisted model': lambda patch: inject_error(patch, _memory, 'restore'),
+    'persisted model': lambda patch: inject_error(
+        patch, _model_store, 'restore'
+    ),
     'learning from a report': lambda patch: inject_error(
         patch, _interference, 'learn'
     ),
@@ -316,7 +318,7 @@
     """Advisory inputs are ignored after an error, longer each time."""
     state = make_state(SchedulerConfig('i', 'i:1'))
     state.ownership.phase = Phase.ACTIVE
-    inject_error(monkeypatch, _advising, 'handle')
+    inject_error(monkeypatch, _advisory_inputs, 'handle')
     reports = 0
     for second in range(600):
         effects = reduce(state, RoomsSeen(1000 * (1 + second), {}))
@@ -332,7 +334,7 @@
     async def run():
         async with open_fleet(len(INSTANCES), WORKERS, 10) as fleet:
             await wait_units(fleet)
-            inject_error(monkeypatch, _memory, 'restore', 1)
+            inject_error(monkeypatch, _model_store, 'restore', 1)
             write_model(fleet, {'run_times_ms': {'q': 100.0}})
             for name in INSTANCES:
                 fleet.kill(name)
--- a/tests/tulippin/jobs/test_unit_failures_review.py
+++ b/tests/tulippin/jobs/test_unit_failures_review.py
@@ -18,10 +18,10 @@
 import trio
 from test_unit_failures import wait_units
 
-from fleet_of_schedulers import make_request, open_fleet
+from scheduler_fleet import make_request, open_fleet
 from tulippin.jobs import _lifecycle, _ownership, core, unit_shell
+from tulippin.jobs._event_sources import name_row
 from tulippin.jobs._restarts import RestartLog
-from tulippin.jobs._sources import name_row
 from tulippin.jobs._unit_rows import UnitRows
 from tulippin.jobs.events import (
     ConfigurationChanged,
--- a/tests/tulippin/jobs/test_unit_lives_soak.py
+++ b/tests/tulippin/jobs/test_unit_lives_soak.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import make_request, make_step, open_fleet
+from scheduler_fleet import make_request, make_step, open_fleet
 from tulippin.jobs import core, unit_shell
 from tulippin.jobs.types import JobState
 
--- a/tests/tulippin/jobs/test_unknown_rooms.py
+++ b/tests/tulippin/jobs/test_unknown_capacities.py
@@ -16,7 +16,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     make_request,
     make_service_request,
@@ -25,15 +25,15 @@
 )
 from tulippin.codec_json import decode
 from tulippin.jobs import (
-    _advising,
+    _advisory_inputs,
     _feasibility,
     _interference,
     _reports,
-    _rooms,
+    _unit_capacity,
     views,
 )
 from tulippin.jobs._dispatch import Context
-from tulippin.jobs._row_checks import find_fault
+from tulippin.jobs._record_validation import find_fault
 from tulippin.jobs.events import WorkerAnswered
 from tulippin.jobs.records import MODEL_KEY, MODELS_TABLE, ModelRecord
 from tulippin.jobs.state import (
@@ -221,7 +221,7 @@
     event = WorkerAnswered(state.now_ms, 'w', state.now_ms, WorkerReport(1))
     for _ in range(times):
         state.now_ms += 500
-        _advising.learn(worker, event, context)
+        _advisory_inputs.learn(worker, event, context)
     return [effect.fields for effect in context.effects]
 
 
@@ -288,7 +288,7 @@
     add_run(worker, 1, FILLS, USED_MILLICORES)
     assert not _feasibility.accepts_runs(worker, state)
     assert not worker.has_capacity(make_step(cpu=0).size)
-    assert _rooms.measure(state).capacity_millicores == 0
+    assert _unit_capacity.measure(state).capacity_millicores == 0
     assert _interference.compute_harm(FILLS, worker, state) is None
     assert _interference.find_tightest_excess(FILLS, worker, state) is None
     assert _interference.compute_tolerated_pace(FILLS, 1, worker, state) == 0
--- a/tests/tulippin/jobs/test_unknown_rooms_review.py
+++ b/tests/tulippin/jobs/test_unknown_capacities_learning.py
@@ -1,6 +1,6 @@
 """Further cases of workers of unknown capacity, and of stored idle tails."""
 
-from test_unknown_rooms import (
+from test_unknown_capacities import (
     FILLS,
     SERVES,
     TARGET_MS,
@@ -9,7 +9,7 @@
     make_worker,
 )
 
-from tulippin.jobs import _choosing, _soundness, _tails
+from tulippin.jobs import _tail_latency, _worker_health, _worker_selection
 from tulippin.jobs._dispatch import Context
 from tulippin.jobs.state import Task
 from tulippin.jobs.types import TaskKey
@@ -28,7 +28,7 @@
     for number in (2, 3):
         key = slow.key._replace(index=number)
         state.tails.setdefault(key.job_id, {})[key] = (12.0, state.now_ms)
-    return _soundness._is_unhealthy(worker, Context(state))
+    return _worker_health._is_unhealthy(worker, Context(state))
 
 
 def test_worker_of_unknown_capacity_is_not_judged_by_its_tails():
@@ -41,18 +41,18 @@
     worker = make_worker(None)
     state = make_state(worker)
     task = Task(TaskKey(OTHER, 0, 0, 0))
-    assert not _choosing.is_limited_by_memory(task, FILLS, state)
+    assert not _worker_selection.is_limited_by_memory(task, FILLS, state)
 
 
 def test_idle_tail_has_a_lower_limit():
     worker = make_worker(KNOWN)
     state = make_state(worker)
     run = add_run(worker, 0, SERVES, 12.0)
-    usual_ms = _tails.get_unloaded_tail_ms(run, state)
+    usual_ms = _tail_latency.get_unloaded_tail_ms(run, state)
     for lowest_ms in (0.0, 1e-300, 1e-9):
         state.lowest_tails_ms['web'] = lowest_ms
         assert (
             TARGET_MS / 100
-            <= _tails.get_unloaded_tail_ms(run, state)
+            <= _tail_latency.get_unloaded_tail_ms(run, state)
             <= usual_ms
         )
--- a/tests/tulippin/jobs/test_worker_rooms.py
+++ b/tests/tulippin/jobs/test_worker_capacities.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import (
+from scheduler_fleet import (
     LOW_PRIORITY_QUEUE,
     QUEUE,
     make_config_body,
@@ -16,7 +16,7 @@
     make_step,
     open_fleet,
 )
-from tulippin.jobs import _feasibility, _headroom, _rooms, _workers
+from tulippin.jobs import _feasibility, _headroom, _unit_capacity, _workers
 from tulippin.jobs.state import SchedulerConfig, SchedulerState, Worker
 from tulippin.jobs.types import WorkerEntry
 from tulippin.platform.standin import check_history
@@ -174,7 +174,7 @@
 def test_reduced_capacity_does_not_count_against_other_workers():
     """A worker 3.5 cores over its capacity hid four fitting tasks of a core."""
     state = make_state(make_worker(0, 2000, 5500), make_worker(1, 8000, 0))
-    assert _rooms.measure(state).places[0] == 8
+    assert _unit_capacity.measure(state).places[0] == 8
     assert _headroom.get_unoccupied(state.workers['w0']) == 2000
     assert not state.workers['w0'].has_capacity(Resources(1, 0))
     assert state.workers['w0'].has_capacity(Resources(-4000, 0))
--- a/tests/tulippin/jobs/test_faults.py
+++ b/tests/tulippin/jobs/test_worker_failures.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import make_request, make_step, open_fleet
+from scheduler_fleet import make_request, make_step, open_fleet
 
 WORKERS = 6
 JOBS = 12
--- a/tests/tulippin/jobs/test_worker_lives.py
+++ b/tests/tulippin/jobs/test_worker_incarnations.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from fleet_of_schedulers import JOB, make_request, make_step, open_fleet
+from scheduler_fleet import JOB, make_request, make_step, open_fleet
 from tulippin.platform.standin import StandinAgents
 
 
--- a/tests/tulippin/platform/test_caller_deadlines.py
+++ b/tests/tulippin/platform/test_caller_deadlines.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleet_of_schedulers import JOB, QUEUE, make_request, make_step, open_fleet
+from scheduler_fleet import JOB, QUEUE, make_request, make_step, open_fleet
 from tulippin.exceptions import UnavailableError
 from tulippin.platform.callers import CallersApp, read_limit_ms
 from tulippin.platform.standin import get_now_ms
--- a/tests/tulippin/platform/test_platform_daemon.py
+++ b/tests/tulippin/platform/test_platform_daemon.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 
-from fleet_of_schedulers import make_config_body
+from scheduler_fleet import make_config_body
 from tulippin._http_client import HttpClient
 from tulippin.jobs import JobIntake
 from tulippin.jobs.unit_shell import UnitShell
--- a/tests/tulippin/platform/test_suspension.py
+++ b/tests/tulippin/platform/test_suspension.py
@@ -8,7 +8,7 @@
 import trio
 from test_platform_daemon import SETTINGS
 
-from fleet_of_schedulers import make_config_body
+from scheduler_fleet import make_config_body
 from suspended_instance import run_suspendable
 from tulippin import _http_client
 from tulippin._http_client import HttpClient
