--- a/src/tulippin/jobs/_transactions.py
+++ b/src/tulippin/jobs/_transactions.py
@@ -190,7 +190,7 @@
         """Return the result, or raise the error of the last attempt."""
         if self.result is not None:
             return self.result
-        reason = self.reason or UnavailableError('the store is unreachable')
+        reason = self.reason or UnavailableError('the store is not reached')
         if self.is_lost:
             raise AnswerLostError(reason.message) from reason
         raise reason
--- a/src/tulippin/platform/callers.py
+++ b/src/tulippin/platform/callers.py
@@ -374,7 +374,7 @@
 
 def _reply_retry(job_id: str, status: int, reason: str) -> Reply:
     """Log a request that can't be completed; ask its caller to retry."""
-    logger.warning('call abandoned', job=job_id, status=status, reason=reason)
+    logger.warning('call given up', job=job_id, status=status, reason=reason)
     return Reply(status, ErrorBody(reason), retry=True)
 
 
--- a/tests/tulippin/platform/test_caller_deadlines.py
+++ b/tests/tulippin/platform/test_caller_deadlines.py
@@ -106,7 +106,7 @@
 
     with logbook.TestHandler() as lines:
         run_virtual(run)
-    logged = [one for one in lines.records if one.message == 'call abandoned']
+    logged = [one for one in lines.records if one.message == 'call given up']
     assert [one.kwargs['job'] for one in logged] == [JOB]
 
 
