--- a/tests/tulippin/platform/test_suspension.py
+++ b/tests/tulippin/platform/test_suspension.py
@@ -170,7 +170,7 @@
     async def skip_renewal(client):
         await trio.lowlevel.checkpoint()
 
-    monkeypatch.setattr(HttpClient, '_renew', skip_renewal)
+    monkeypatch.setattr(HttpClient, '_retire_if_suspended', skip_renewal)
     assert await loses_answer_after_suspension(monkeypatch)
 
 
